--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -9,23 +9,25 @@
 from typing import Collection
 from typing import Sequence
 
-from rackpost.decide import book
+from rackpost.decide import endpoint_view
 from rackpost.decide import placement
 from rackpost.decide import prefix
+from rackpost.decide import reservations
 from rackpost.decide import slots
-from rackpost.decide import views
 from rackpost.link import messages
 from rackpost import types
 
 
-class OpenBook(book.Book):
+class OpenBook(reservations.Book):
     """Takes any work at once and leaves the queueing to the engine.
 
     Work is refused only when the queue at the engine is longer than
     `queue_limit` requests.
     """
 
-    def __init__(self, *, spec: book.EndpointSpec, queue_limit: int) -> None:
+    def __init__(
+        self, *, spec: reservations.EndpointSpec, queue_limit: int
+    ) -> None:
         super().__init__(spec=spec)
         self._limit = queue_limit
         self._cost: dict[slots.Key, float] = {}
@@ -39,7 +41,7 @@
 
     def promise(
         self, msg: messages.Reserve, key: slots.Key, now: float
-    ) -> book.Promise | types.Refusal:
+    ) -> reservations.Promise | types.Refusal:
         """Take the work unless the queue is full."""
         if self.leaving:
             return types.Refusal.LEAVING
@@ -52,7 +54,7 @@
             rate = self.spec.prefill_tokens_s
             self._cost[key] = self.spec.prefill_base_s
             self._cost[key] += msg.prompt_tokens / rate
-        return book.Promise(0.0, 0)
+        return reservations.Promise(0.0, 0)
 
     def ready(self, key: slots.Key) -> None:
         """Hand it over at once."""
@@ -111,8 +113,8 @@
     def place(
         self,
         *,
-        ask: views.Ask,
-        pool: Sequence[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> placement.Placement | types.Refusal:
@@ -127,13 +129,15 @@
 
     def _prefill(
         self,
-        ask: views.Ask,
-        pool: list[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: list[endpoint_view.EndpointView],
         now: float,
-    ) -> views.EndpointView:
+    ) -> endpoint_view.EndpointView:
         raise NotImplementedError
 
-    def _decode(self, pool: list[views.EndpointView]) -> views.EndpointView:
+    def _decode(
+        self, pool: list[endpoint_view.EndpointView]
+    ) -> endpoint_view.EndpointView:
         return min(pool, key=lambda view: view.load.used + view.sent_slots)
 
 
@@ -145,14 +149,16 @@
 
     def _prefill(
         self,
-        ask: views.Ask,
-        pool: list[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: list[endpoint_view.EndpointView],
         now: float,
-    ) -> views.EndpointView:
+    ) -> endpoint_view.EndpointView:
         self._turn += 1
         return pool[self._turn % len(pool)]
 
-    def _decode(self, pool: list[views.EndpointView]) -> views.EndpointView:
+    def _decode(
+        self, pool: list[endpoint_view.EndpointView]
+    ) -> endpoint_view.EndpointView:
         return pool[self._turn % len(pool)]
 
 
@@ -161,10 +167,10 @@
 
     def _prefill(
         self,
-        ask: views.Ask,
-        pool: list[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: list[endpoint_view.EndpointView],
         now: float,
-    ) -> views.EndpointView:
+    ) -> endpoint_view.EndpointView:
         return min(pool, key=lambda view: view.backlog_s(now))
 
 
@@ -173,11 +179,11 @@
 
     def _prefill(
         self,
-        ask: views.Ask,
-        pool: list[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: list[endpoint_view.EndpointView],
         now: float,
-    ) -> views.EndpointView:
-        def cost(view: views.EndpointView) -> float:
+    ) -> endpoint_view.EndpointView:
+        def cost(view: endpoint_view.EndpointView) -> float:
             cached = view.hints.match(ask.blocks) * prefix.BLOCK_TOKENS
             rest = max(1, ask.prompt_tokens - cached)
             queue = view.backlog_s(now)
--- a/lab/cases.py
+++ b/lab/cases.py
@@ -7,10 +7,10 @@
 from typing import NamedTuple
 
 from lab import baselines
-from rackpost.decide import book
-from rackpost.decide import events
+from rackpost.decide import declared_events
 from rackpost.decide import placement
 from rackpost.decide import prefix
+from rackpost.decide import reservations
 from rackpost.entry import core as entry_core
 from rackpost.entry import request
 from rackpost.testing import claims
@@ -206,7 +206,7 @@
             early, size = _DECLARED[self.case.load]
             rate = size * RUSH_SHARE * full_rate(self.deployment)
             site.events.append(
-                events.Declared(
+                declared_events.Declared(
                     RUSH_AT + early,
                     RUSH_S,
                     (types.KindName(self.deployment.rush),),
@@ -218,9 +218,9 @@
             site.add_entry(f"e{idx}", centre, self._policy(site, idx))
         return site
 
-    def _book(self, spec: book.EndpointSpec) -> book.Book:
+    def _book(self, spec: reservations.EndpointSpec) -> reservations.Book:
         if self.case.policy == PRODUCT or spec.role is types.Role.PLAIN:
-            return book.PromiseBook(spec=spec)
+            return reservations.PromiseBook(spec=spec)
         limit = _DECODE_QUEUE
         if spec.role is types.Role.PREFILL:
             limit = _PREFILL_LIMITS[self.case.deployment]
--- a/lab/promises.py
+++ b/lab/promises.py
@@ -82,7 +82,7 @@
         "An endpoint that is leaving receives no new work",
         "test_frames.py::test_a_leaving_agent_refuses_an_entry_that_does"
         "_not_know",
-        "rackpost/decide/book.py",
+        "rackpost/decide/reservations.py",
         "        if self.leaving:\n            return types.Refusal.LEAVING\n"
         "        if msg.part",
         "        if msg.part",
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -17,11 +17,11 @@
 from rackpost.consensus import output
 from rackpost.consensus import storage
 from rackpost.control import messages as control
-from rackpost.decide import book
 from rackpost.decide import demand
+from rackpost.decide import endpoint_view
 from rackpost.decide import placement
+from rackpost.decide import reservations
 from rackpost.decide import slots
-from rackpost.decide import views
 from rackpost.entry import attempt
 from rackpost.link import codec
 from rackpost.link import messages
@@ -50,12 +50,12 @@
     )
 
 
-def _views(count: int) -> list[views.EndpointView]:
+def _views(count: int) -> list[endpoint_view.EndpointView]:
     found = []
     for idx in range(count):
         role = types.Role.PREFILL if idx % 2 else types.Role.DECODE
         found.append(
-            views.EndpointView(
+            endpoint_view.EndpointView(
                 agent=types.AgentId(f"a{idx}"),
                 service=types.ServiceName("s"),
                 data_centre=types.DataCentre("d"),
@@ -67,8 +67,8 @@
     return found
 
 
-def _ask() -> views.Ask:
-    return views.Ask(
+def _ask() -> endpoint_view.Ask:
+    return endpoint_view.Ask(
         service=types.ServiceName("s"),
         kind=types.KindName("k"),
         prompt_tokens=2000,
@@ -103,8 +103,8 @@
     for count in (500, 1000, 2000):
 
         def work() -> None:
-            kept = book.PromiseBook(
-                spec=book.EndpointSpec(role=types.Role.DECODE)
+            kept = reservations.PromiseBook(
+                spec=reservations.EndpointSpec(role=types.Role.DECODE)
             )
             for idx in range(count):
                 key = slots.Key(types.RequestId(f"r{idx}"), types.Attempt(1))
--- a/rackpost/agent/core.py
+++ b/rackpost/agent/core.py
@@ -18,8 +18,8 @@
 from rackpost.agent import attempts
 from rackpost.agent import engine as engine_mod
 from rackpost.agent import running as running_mod
-from rackpost.decide import book as book_mod
 from rackpost.decide import prefix
+from rackpost.decide import reservations as reservations_mod
 from rackpost.decide import slots
 from rackpost import exceptions
 from rackpost.link import channel
@@ -76,7 +76,7 @@
         *,
         cfg: AgentConfig,
         engine: engine_mod.Engine,
-        book: book_mod.Book,
+        book: reservations_mod.Book,
         metrics: metrics_mod.Metrics | None = None,
         behind: Callable[[types.Revision], object] = lambda revision: None,
     ) -> None:
@@ -145,7 +145,9 @@
         self._behind(msg.revision)
         key = slots.Key(msg.req, msg.attempt)
         if self._sealed.ending(key) is not None:
-            made: book_mod.Promise | types.Refusal = types.Refusal.DEADLINE
+            made: reservations_mod.Promise | types.Refusal = (
+                types.Refusal.DEADLINE
+            )
         else:
             made = self.book.promise(msg, key, self._loop.time())
         if isinstance(made, types.Refusal):
@@ -397,7 +399,7 @@
             return
         with contextlib.suppress(exceptions.EngineError):
             seen = await self._engine.events()
-            if isinstance(self.book, book_mod.PromiseBook):
+            if isinstance(self.book, reservations_mod.PromiseBook):
                 self.book.cache_events(seen.stored, seen.removed)
 
     def _say_summaries(self) -> None:
--- a/rackpost/agent/process.py
+++ b/rackpost/agent/process.py
@@ -12,7 +12,7 @@
 from rackpost import config
 from rackpost.control import client as client_mod
 from rackpost.control import messages as control_messages
-from rackpost.decide import book
+from rackpost.decide import reservations
 from rackpost import exceptions
 from rackpost.link import messages
 from rackpost.link import websocket
@@ -32,8 +32,8 @@
         self.incarnation = types.Incarnation(time.time_ns())
         self._engine = engine_http.HttpEngine(url=opts.endpoint)
         role = opts.parsed_role()
-        self.book = book.PromiseBook(
-            spec=book.EndpointSpec(
+        self.book = reservations.PromiseBook(
+            spec=reservations.EndpointSpec(
                 role=role,
                 slots=opts.slots,
                 prefill_tokens_s=opts.prefill_rate,
--- a/rackpost/agent/running.py
+++ b/rackpost/agent/running.py
@@ -11,9 +11,9 @@
 
 from rackpost.agent import attempts
 from rackpost.agent import engine as engine_mod
-from rackpost.agent import segments
+from rackpost.agent import prompt_chunks
 from rackpost.agent import watchdog
-from rackpost.decide import book as book_mod
+from rackpost.decide import reservations as reservations_mod
 from rackpost import exceptions
 from rackpost.link import messages
 from rackpost import types
@@ -60,7 +60,7 @@
         self,
         *,
         engine: engine_mod.Engine,
-        book: book_mod.Book,
+        book: reservations_mod.Book,
         host: Host,
     ) -> None:
         self._engine = engine
@@ -83,7 +83,7 @@
         done = att.reuse_tokens
         while (part := self._book.part_tokens(att.key)) is not None:
             done += part
-            await self._run_part(att, segments.cut_body(run.body, done))
+            await self._run_part(att, prompt_chunks.cut_body(run.body, done))
         result = await self._timed(
             att,
             self._engine.prefill(
--- a/rackpost/consensus/raft.py
+++ b/rackpost/consensus/raft.py
@@ -10,7 +10,7 @@
 import random
 from typing import Collection
 
-from rackpost.consensus import appending
+from rackpost.consensus import follower_log
 from rackpost.consensus import followers
 from rackpost.consensus import log as log_mod
 from rackpost.consensus import membership
@@ -446,7 +446,7 @@
         self._heard_leader(msg, now)
         if self._missing_before(msg):
             return
-        appending.take(self.log, self._out, msg.entries, self.commit)
+        follower_log.take(self.log, self._out, msg.entries, self.commit)
         match = msg.prev_index + len(msg.entries)
         self._reply(msg, ok=True, match=match)
         if min(msg.commit, match) > self.commit:
@@ -470,7 +470,7 @@
         self._heard_leader(msg, now)
         snapshot = msg.snapshot
         if snapshot.index > self.commit:
-            appending.install(self.log, self._out, snapshot)
+            follower_log.install(self.log, self._out, snapshot)
             self.commit = snapshot.index
             self.applied = snapshot.index
         self._reply(msg, ok=True, match=snapshot.index)
--- a/rackpost/coordinator/messages.py
+++ b/rackpost/coordinator/messages.py
@@ -7,13 +7,13 @@
 from rackpost.consensus import messages as consensus
 from rackpost.control import messages as control
 from rackpost.decide import endpoint_load
+from rackpost.decide import endpoint_rates
 from rackpost.decide import quarantine
+from rackpost.decide import queue_order as queue_order_mod
 from rackpost.decide import quota
 from rackpost.decide import quota_use
 from rackpost.decide import rate_grants
-from rackpost.decide import rates
 from rackpost.decide import role_balance
-from rackpost.decide import waiting as waiting_mod
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -151,11 +151,11 @@
     uses: dict[types.EndpointId, endpoint_load.Use]
     broken: tuple[types.EndpointId, ...] = ()
     full: tuple[types.EndpointId, ...] = ()
-    first: tuple[waiting_mod.Left, ...] = ()
+    first: tuple[queue_order_mod.Left, ...] = ()
     refused: tuple[int, ...] = ()
     quotas: quota.Told = quota.Told()
     backoffs: dict[types.EndpointId, float] = {}
-    named_rates: tuple[rates.Told, ...] = ()
+    named_rates: tuple[endpoint_rates.Told, ...] = ()
 
 
 class AskGrant(_Message, frozen=True, tag="ask-grant"):
@@ -166,7 +166,7 @@
 
     number: int
     wish: rate_grants.Wish
-    rate: rates.Told
+    rate: endpoint_rates.Told
 
 
 class GrantAnswer(_Message, frozen=True, tag="grant"):
@@ -174,7 +174,7 @@
 
     number: int
     verdict: rate_grants.Verdict
-    rate: rates.Told
+    rate: endpoint_rates.Told
 
 
 class GiveBack(_Message, frozen=True, tag="give-back"):
--- a/rackpost/decide/candidates.py
+++ b/rackpost/decide/candidates.py
@@ -9,7 +9,7 @@
 
 from rackpost.decide import eligibility
 from rackpost.decide import endpoint_health
-from rackpost.decide import groups
+from rackpost.decide import gateway_groups
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -24,7 +24,7 @@
         eligible: eligibility.Eligibility,
         health: endpoint_health.HealthBook,
         silent_s: float,
-        group: groups.Group | None = None,
+        group: gateway_groups.Group | None = None,
     ) -> None:
         """`silent_s`: after so long without a heartbeat others go first.
 
@@ -35,7 +35,7 @@
         self._eligible = eligible
         self._health = health
         self._silent_s = silent_s
-        self._group = group or groups.Group(vm=types.VmId(""))
+        self._group = group or gateway_groups.Group(vm=types.VmId(""))
 
     def find(
         self,
--- a/rackpost/decide/capacity.py
+++ b/rackpost/decide/capacity.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 from typing import Sequence
 
-from rackpost.decide import views
+from rackpost.decide import endpoint_view
 from rackpost import types
 
 _LEAST_COST_S = 1e-6
@@ -38,7 +38,7 @@
         return max(pre, dec, _LEAST_COST_S)
 
 
-def of(pool: Sequence[views.EndpointView]) -> Capacity:
+def of(pool: Sequence[endpoint_view.EndpointView]) -> Capacity:
     """The capacity of all endpoints of a service that are not leaving."""
     prefills = decodes = 0
     tokens_s = base_s = slot_tokens_s = 0.0
--- a/rackpost/decide/eligibility.py
+++ b/rackpost/decide/eligibility.py
@@ -19,8 +19,8 @@
 from typing import NamedTuple
 
 from rackpost.decide import backoff
+from rackpost.decide import endpoint_rates
 from rackpost.decide import rate_gate
-from rackpost.decide import rates
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -58,7 +58,7 @@
     ) -> None:
         self._table = table
         self.backoffs = backoff.BackoffBook(rng=rng)
-        self.rates = rates.RateBook()
+        self.rates = endpoint_rates.RateBook()
         self.gate = rate_gate.RateGate(book=self.rates)
         self._changing: frozenset[types.EndpointId] = frozenset()
 
--- a/rackpost/decide/endpoint_load.py
+++ b/rackpost/decide/endpoint_load.py
@@ -12,7 +12,7 @@
 
 from rackpost.decide import fleet_size
 from rackpost.decide import kv_forecast
-from rackpost.decide import waiting as waiting_mod
+from rackpost.decide import queue_order as queue_order_mod
 from rackpost import types
 
 # Gateways tell their figures at least each second; three may be lost.
@@ -44,7 +44,7 @@
         self.number = -1
         self.at = 0.0
         self.uses: dict[types.EndpointId, Use] = {}
-        self.first: tuple[waiting_mod.Left, ...] = ()
+        self.first: tuple[queue_order_mod.Left, ...] = ()
 
 
 class LoadBook:
@@ -112,7 +112,7 @@
         number: int,
         uses: dict[types.EndpointId, Use],
         now: float,
-        first: tuple[waiting_mod.Left, ...] = (),
+        first: tuple[queue_order_mod.Left, ...] = (),
     ) -> None:
         """Take another gateway's figures; older ones are dropped.
 
@@ -187,7 +187,9 @@
         ages = (now - heard.at for heard in self._others.values())
         return max(ages, default=0.0)
 
-    def ahead(self, left: waiting_mod.Left, me: types.VmId, now: float) -> int:
+    def ahead(
+        self, left: queue_order_mod.Left, me: types.VmId, now: float
+    ) -> int:
         """How many that wait at other gateways go before one here."""
         mine = left.rank(0.0)
         count = 0
@@ -197,7 +199,7 @@
                 continue
             for other in heard.first:
                 rank = other.rank(age)
-                if waiting_mod.goes_before(rank, sender, mine, me):
+                if queue_order_mod.goes_before(rank, sender, mine, me):
                     count += 1
         return count
 
--- a/rackpost/decide/placement.py
+++ b/rackpost/decide/placement.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 from typing import Sequence
 
-from rackpost.decide import views
+from rackpost.decide import endpoint_view
 from rackpost import types
 
 # Pairs are only formed among this many of the best of each pool, which
@@ -47,8 +47,8 @@
     def place(
         self,
         *,
-        ask: views.Ask,
-        pool: Sequence[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> Placement | types.Refusal:
@@ -56,10 +56,10 @@
 
 
 def by_role(
-    pool: Sequence[views.EndpointView],
+    pool: Sequence[endpoint_view.EndpointView],
     role: types.Role,
     excluded: Collection[types.AgentId],
-) -> list[views.EndpointView]:
+) -> list[endpoint_view.EndpointView]:
     """The endpoints of `role` that may be chosen.
 
     Avoided ones are left out unless all are avoided.
@@ -84,8 +84,8 @@
     def place(
         self,
         *,
-        ask: views.Ask,
-        pool: Sequence[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> Placement | types.Refusal:
@@ -99,8 +99,8 @@
 
     def _place(
         self,
-        ask: views.Ask,
-        pool: Sequence[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId],
     ) -> Placement | types.Refusal:
@@ -118,8 +118,8 @@
 
     def _prefill_halves(
         self,
-        ask: views.Ask,
-        pool: list[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> list["_Half"]:
         halves = []
@@ -142,8 +142,8 @@
 
     def _decode_halves(
         self,
-        ask: views.Ask,
-        pool: list[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> list["_Half"] | types.Refusal:
         halves = []
@@ -173,11 +173,11 @@
 
     cost: float
     ready_s: float
-    view: views.EndpointView
+    view: endpoint_view.EndpointView
 
 
 def _best_pair(
-    ask: views.Ask, prefills: list[_Half], decodes: list[_Half]
+    ask: endpoint_view.Ask, prefills: list[_Half], decodes: list[_Half]
 ) -> Placement:
     best: Placement | None = None
     best_cost = float("inf")
@@ -194,7 +194,7 @@
     return best
 
 
-def _ttft(ask: views.Ask, pre: _Half, dec: _Half) -> float:
+def _ttft(ask: endpoint_view.Ask, pre: _Half, dec: _Half) -> float:
     out = pre.view.load
     into = dec.view.load
     transfer = ask.kv_bytes / min(out.link_bytes_s, into.link_bytes_s)
@@ -202,7 +202,7 @@
     return start + transfer + 2 * dec.view.delay_s + into.step_s
 
 
-def _crowding(view: views.EndpointView) -> float:
+def _crowding(view: endpoint_view.EndpointView) -> float:
     # A fuller batch makes every stream's steps slower; this spreads the
     # streams while slots are free everywhere.
     used = view.load.used + view.sent_slots
@@ -218,8 +218,8 @@
     def place(
         self,
         *,
-        ask: views.Ask,
-        pool: Sequence[views.EndpointView],
+        ask: endpoint_view.Ask,
+        pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> Placement | types.Refusal:
--- a/rackpost/decide/rate_gate.py
+++ b/rackpost/decide/rate_gate.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from rackpost.decide import endpoint_rates
 from rackpost.decide import rate_grants
-from rackpost.decide import rates
 from rackpost.routing import endpoints
 
 # A request for which an endpoint was chosen asks for its grant within this,
@@ -37,7 +37,7 @@
 class RateGate:
     """What one gateway knows of others' grants."""
 
-    def __init__(self, *, book: rates.RateBook) -> None:
+    def __init__(self, *, book: endpoint_rates.RateBook) -> None:
         self._book = book
         self._records: dict[endpoints.Incarnation, _Record] = {}
 
--- a/rackpost/decide/book.py
+++ b/rackpost/decide/reservations.py
@@ -9,7 +9,7 @@
 import random
 from typing import NamedTuple
 
-from rackpost.decide import health
+from rackpost.decide import circuit_breaker
 from rackpost.decide import lengths
 from rackpost.decide import link_budget
 from rackpost.decide import prefill_queue
@@ -60,7 +60,7 @@
         self.role = spec.role
         self.revision = types.Revision(0)
         self.leaving = False
-        self.health = health.Health(rng=random.Random(0))
+        self.health = circuit_breaker.Health(rng=random.Random(0))
 
     @abc.abstractmethod
     def promise(
@@ -158,10 +158,10 @@
 
     def _sound_for(self, msg: messages.Reserve, now: float) -> bool:
         state = self.health.state(now)
-        if state is health.State.TRIAL:
+        if state is circuit_breaker.State.TRIAL:
             # A trial that fails costs its prefill: let it be a short one.
             return msg.prompt_tokens <= _TRIAL_TOKENS
-        return state is health.State.GOOD
+        return state is circuit_breaker.State.GOOD
 
     def _promise_prefill(
         self, msg: messages.Reserve, key: slots.Key, now: float
@@ -327,7 +327,7 @@
             role=self.role,
             revision=self.revision,
             leaving=self.leaving,
-            avoided=self.health.state(now) is health.State.AVOIDED,
+            avoided=self.health.state(now) is circuit_breaker.State.AVOIDED,
             slots=spec.slots,
             used=self._slots.used,
             free_in_s=wait,
--- a/rackpost/decide/role_balance.py
+++ b/rackpost/decide/role_balance.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from rackpost.decide import pace as pace_mod
+from rackpost.decide import token_timing as token_timing_mod
 from rackpost import types
 
 # Demand is averaged over this long, in seconds: longer than one burst's
@@ -90,7 +90,10 @@
         self._items.append(_Asked(at=now, prompt=prompt, made=share * out))
 
     def rate(
-        self, service: types.ServiceName, now: float, pace: pace_mod.Pace
+        self,
+        service: types.ServiceName,
+        now: float,
+        pace: token_timing_mod.Pace,
     ) -> Demand:
         """The demand over the last seconds, at the present pace.
 
--- a/rackpost/endpoint_notices.py
+++ b/rackpost/endpoint_notices.py
@@ -6,7 +6,7 @@
 """
 
 from rackpost.decide import eligibility
-from rackpost.decide import rates
+from rackpost.decide import endpoint_rates
 from rackpost import exceptions
 from rackpost.http1 import message
 from rackpost import logs
@@ -59,7 +59,7 @@
 
 
 def _note_rate(
-    book: rates.RateBook,
+    book: endpoint_rates.RateBook,
     endpoint: endpoints.Endpoint,
     head: message.Head,
     *,
--- a/rackpost/entry/attempt.py
+++ b/rackpost/entry/attempt.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from rackpost.decide import endpoint_view
 from rackpost.decide import placement
-from rackpost.decide import views
 from rackpost.entry import outcome
 from rackpost.entry import pool as pool_mod
 from rackpost.entry import request
@@ -55,7 +55,7 @@
         *,
         req: request.Request,
         number: types.Attempt,
-        ask: views.Ask,
+        ask: endpoint_view.Ask,
         offset: int,
         pool: pool_mod.Pool,
         policy: placement.Policy,
--- a/rackpost/entry/core.py
+++ b/rackpost/entry/core.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from rackpost.decide import demand
+from rackpost.decide import endpoint_view
 from rackpost.decide import placement
-from rackpost.decide import views
 from rackpost.entry import attempt as attempt_mod
 from rackpost.entry import claiming
 from rackpost.entry import claims as claims_mod
@@ -333,9 +333,9 @@
 
     def _ask(
         self, item: open_request.OpenRequest, denser: demand.Share
-    ) -> views.Ask:
+    ) -> endpoint_view.Ask:
         req = item.req
-        return views.Ask(
+        return endpoint_view.Ask(
             service=req.service,
             kind=req.kind,
             prompt_tokens=req.prompt_tokens + item.delivered,
--- a/rackpost/entry/ends.py
+++ b/rackpost/entry/ends.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
-from rackpost.decide import come_back
 from rackpost.decide import retry
+from rackpost.decide import retry_after
 from rackpost.entry import attempt as attempt_mod
 from rackpost.entry import offers as offers_mod
 from rackpost.entry import open_request
@@ -176,7 +176,7 @@
             for view in self._pool.views_of(req.service)
             if view.load.role is types.Role.PREFILL
         ]
-        return come_back.after(
+        return retry_after.after(
             reason,
             backlog_s=min(backlogs, default=0.0),
             denser=self._offers.last_denser(req.service),
--- a/rackpost/entry/offers.py
+++ b/rackpost/entry/offers.py
@@ -5,14 +5,14 @@
 from typing import Sequence
 
 from rackpost.decide import capacity
+from rackpost.decide import declared_events as declared_events_mod
 from rackpost.decide import demand
-from rackpost.decide import events as events_mod
+from rackpost.decide import endpoint_view
 from rackpost.decide import fairness
-from rackpost.decide import views
 from rackpost.entry import request
 from rackpost import types
 
-Events = Callable[[types.ServiceName], Sequence[events_mod.Declared]]
+Events = Callable[[types.ServiceName], Sequence[declared_events_mod.Declared]]
 # How many endpoints of a service and role the site has; None if unknown.
 Members = Callable[[types.ServiceName, types.Role], int | None]
 
@@ -49,7 +49,9 @@
         self._services: dict[types.ServiceName, _Service] = {}
 
     def denser(
-        self, req: request.Request, linked: Sequence[views.EndpointView]
+        self,
+        req: request.Request,
+        linked: Sequence[endpoint_view.EndpointView],
     ) -> demand.Share:
         """What denser requests will take, of all entries, per endpoint.
 
@@ -108,6 +110,8 @@
             seen.declare({})
             return
         rates = {kind: rate * entries for kind, rate in seen.rates(at).items()}
-        found = events_mod.expected(declared, seen=rates, now=self._wall())
+        found = declared_events_mod.expected(
+            declared, seen=rates, now=self._wall()
+        )
         # This entry's part of what the whole site expects.
         seen.declare({kind: rate / entries for kind, rate in found.items()})
--- a/rackpost/entry/pool.py
+++ b/rackpost/entry/pool.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from rackpost.decide import health
-from rackpost.decide import views
+from rackpost.decide import circuit_breaker
+from rackpost.decide import endpoint_view
 from rackpost.link import channel
 from rackpost.link import messages
 from rackpost import types
@@ -31,7 +31,7 @@
         *,
         member: Member,
         conn: channel.Channel,
-        view: views.EndpointView,
+        view: endpoint_view.EndpointView,
     ) -> None:
         self.member = member
         self.conn = conn
@@ -44,15 +44,15 @@
 
     def __init__(self, *, rng: random.Random) -> None:
         self._loop = asyncio.get_running_loop()
-        self.health = health.HealthMap(rng=rng)
+        self.health = circuit_breaker.HealthMap(rng=rng)
         self._peers: dict[types.AgentId, Peer] = {}
-        self._by_service: dict[types.ServiceName, list[views.EndpointView]] = (
-            {}
-        )
+        self._by_service: dict[
+            types.ServiceName, list[endpoint_view.EndpointView]
+        ] = {}
 
     def add(self, member: Member, conn: channel.Channel) -> Peer:
         """A link to an agent is up."""
-        view = views.EndpointView(
+        view = endpoint_view.EndpointView(
             agent=member.agent,
             service=member.service,
             data_centre=member.data_centre,
@@ -80,13 +80,15 @@
         """All links."""
         return list(self._peers.values())
 
-    def views_of(self, service: types.ServiceName) -> list[views.EndpointView]:
+    def views_of(
+        self, service: types.ServiceName
+    ) -> list[endpoint_view.EndpointView]:
         """The endpoints of a service, with who is to be avoided."""
         now = self._loop.time()
         found = self._by_service.get(service, [])
         for view in found:
             state = self.health.of(view.agent).state(now)
-            view.avoided = state is health.State.AVOIDED
+            view.avoided = state is circuit_breaker.State.AVOIDED
         return found
 
     def learn(self, agent: types.AgentId, load: messages.Load) -> None:
--- a/rackpost/entry/process.py
+++ b/rackpost/entry/process.py
@@ -9,7 +9,7 @@
 from rackpost import config
 from rackpost.control import client as client_mod
 from rackpost.control import messages as control_messages
-from rackpost.decide import events as events_mod
+from rackpost.decide import declared_events as declared_events_mod
 from rackpost.decide import placement
 from rackpost.decide import subset
 from rackpost.entry import control_claims
@@ -111,10 +111,12 @@
         members = self.client.in_force.members.values()
         return max(1, sum(1 for member in members if not member.service))
 
-    def _events(self, service: types.ServiceName) -> list[events_mod.Declared]:
+    def _events(
+        self, service: types.ServiceName
+    ) -> list[declared_events_mod.Declared]:
         declared = self.client.in_force.tree.events.values()
         return [
-            events_mod.Declared(
+            declared_events_mod.Declared(
                 event.start, event.length_s, event.kinds, event.rate
             )
             for event in declared
--- a/rackpost/gateway/room.py
+++ b/rackpost/gateway/admission_queue.py
@@ -9,10 +9,10 @@
 from rackpost.decide import endpoint_choice
 from rackpost.decide import endpoint_load
 from rackpost.decide import fleet_size
-from rackpost.decide import opening
-from rackpost.decide import pace as pace_mod
-from rackpost.decide import waiting
-from rackpost.gateway import place as place_mod
+from rackpost.decide import plain_queue
+from rackpost.decide import queue_order
+from rackpost.decide import token_timing as token_timing_mod
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -44,7 +44,7 @@
 _TRY_S = 1.0
 
 
-def _usable(wanted: place_mod.Wanted) -> int:
+def _usable(wanted: reservation_mod.Wanted) -> int:
     """The part of an endpoint's memory that is given away, in tokens."""
     return int(wanted.capacity * _FILL)
 
@@ -63,11 +63,11 @@
 class _Waiter:
     """A generation that waits."""
 
-    def __init__(self, *, wanted: place_mod.Wanted) -> None:
+    def __init__(self, *, wanted: reservation_mod.Wanted) -> None:
         self.wanted = wanted
-        self.found: asyncio.Future[place_mod.Place | place_mod.Full] = (
-            asyncio.get_running_loop().create_future()
-        )
+        self.found: asyncio.Future[
+            reservation_mod.Place | reservation_mod.Full
+        ] = asyncio.get_running_loop().create_future()
 
 
 class Room:
@@ -78,7 +78,7 @@
         *,
         chooser: endpoint_choice.Chooser,
         loads: endpoint_load.LoadBook,
-        pace: pace_mod.Pace,
+        pace: token_timing_mod.Pace,
         rng: random.Random,
         vm: types.VmId,
         changed: asyncio.Event,
@@ -103,10 +103,10 @@
         # When a place was last given, by the loop's clock.
         self._begun_at = self._loop.time()
 
-    def first(self, now: float) -> tuple[waiting.Left, ...]:
+    def first(self, now: float) -> tuple[queue_order.Left, ...]:
         """Those that wait here and go first."""
         found = [
-            waiting.left(waiter.wanted.claim, now)
+            queue_order.left(waiter.wanted.claim, now)
             for waiter in self._waiters
             if not waiter.found.done()
         ]
@@ -114,8 +114,8 @@
         return tuple(found[:_MOST_TOLD])
 
     async def wait(
-        self, wanted: place_mod.Wanted
-    ) -> place_mod.Place | place_mod.Full:
+        self, wanted: reservation_mod.Wanted
+    ) -> reservation_mod.Place | reservation_mod.Full:
         """A place, which the caller must release, or word to come back."""
         now = self._loop.time()
         waiter = _Waiter(wanted=wanted)
@@ -138,8 +138,8 @@
                 self._waiters_changed()
 
     def again(
-        self, wanted: place_mod.Wanted, endpoint: endpoints.Endpoint
-    ) -> place_mod.Place | None:
+        self, wanted: reservation_mod.Wanted, endpoint: endpoints.Endpoint
+    ) -> reservation_mod.Place | None:
         """The place that a request had just now, if it is still there.
 
         Nobody takes it in between, and where the endpoint has kept the KV
@@ -148,7 +148,7 @@
         now = self._loop.time()
         if not self._chooser.candidates.still_takes(endpoint, now):
             return None
-        return place_mod.Place(
+        return reservation_mod.Place(
             endpoint=endpoint,
             reader=None,
             free=self._loads.hold(endpoint.id, run=wanted.run),
@@ -160,22 +160,24 @@
     def _refuse_if_hopeless(self, waiter: _Waiter, now: float) -> None:
         claim = waiter.wanted.claim
         wait_s = self._expected_wait_s(waiter.wanted, now)
-        hopeless = waiting.is_known_hopeless(claim, wait_s, now)
+        hopeless = queue_order.is_known_hopeless(claim, wait_s, now)
         if hopeless or len(self._waiters) > _MOST:
             self._settle(waiter, self._full(waiter.wanted, now))
 
-    def _opens_s(self, wanted: place_mod.Wanted, now: float) -> float:
+    def _opens_s(self, wanted: reservation_mod.Wanted, now: float) -> float:
         """How long all decode endpoints still want nothing, in seconds."""
         opens_s = self._chooser.candidates.opens_s(
             wanted.service, types.Role.DECODE, but=wanted.but, now=now
         )
         return opens_s or 0.0
 
-    def _expected_wait_s(self, wanted: place_mod.Wanted, now: float) -> float:
+    def _expected_wait_s(
+        self, wanted: reservation_mod.Wanted, now: float
+    ) -> float:
         """How long until it is its turn, in seconds."""
-        mine = waiting.order(wanted.claim, now)
+        mine = queue_order.order(wanted.claim, now)
         ahead = sum(
-            waiting.order(item.wanted.claim, now) <= mine
+            queue_order.order(item.wanted.claim, now) <= mine
             for item in self._waiters
             if item.wanted is not wanted
         )
@@ -189,7 +191,7 @@
         return opening_s + self._queue_s(wanted, ahead, now)
 
     def _opening_s(
-        self, wanted: place_mod.Wanted, ahead: int, now: float
+        self, wanted: reservation_mod.Wanted, ahead: int, now: float
     ) -> float:
         """How long back-offs and rates hold it up, in seconds.
 
@@ -201,7 +203,7 @@
         per_s = found.own_per_s(wanted.service, role, but=wanted.but, now=now)
         if opens_s <= 0.0 and per_s is None:
             return 0.0
-        return opening.wait_s(
+        return plain_queue.wait_s(
             ahead=ahead,
             count=len(found.members(wanted.service, role)),
             answer_s=wanted.claim.start_s,
@@ -210,34 +212,36 @@
         )
 
     def _queue_s(
-        self, wanted: place_mod.Wanted, ahead: int, now: float
+        self, wanted: reservation_mod.Wanted, ahead: int, now: float
     ) -> float:
         """How long those that go before it will take, in seconds."""
-        left = waiting.left(wanted.claim, now)
-        return waiting.expected_wait_s(
+        left = queue_order.left(wanted.claim, now)
+        return queue_order.expected_wait_s(
             ahead=ahead + self._loads.ahead(left, self._vm, now),
             running=self._chooser.running(wanted.service, now),
             run_s=self._pace.run_s,
         )
 
-    def _full(self, wanted: place_mod.Wanted, now: float) -> place_mod.Full:
+    def _full(
+        self, wanted: reservation_mod.Wanted, now: float
+    ) -> reservation_mod.Full:
         wait_s = self._expected_wait_s(wanted, now)
         chance = self._rng.random()
-        after = waiting.come_back_s(wanted.claim, wait_s, now, chance)
+        after = queue_order.come_back_s(wanted.claim, wait_s, now, chance)
         # Nobody is told to come back before anything may be sent.
         after = max(after, self._opens_s(wanted, now))
-        return place_mod.Full(come_back_s=after, expected_wait_s=wait_s)
+        return reservation_mod.Full(come_back_s=after, expected_wait_s=wait_s)
 
     def _give_back(self, waiter: _Waiter) -> None:
         if waiter.found.done() and not waiter.found.cancelled():
             place = waiter.found.result()
-            if isinstance(place, place_mod.Place):
+            if isinstance(place, reservation_mod.Place):
                 place.release()
 
     def _give(self) -> None:
         now = self._loop.time()
         self._waiters.sort(
-            key=lambda item: waiting.order(item.wanted.claim, now)
+            key=lambda item: queue_order.order(item.wanted.claim, now)
         )
         self._drop_hopeless(now)
         unplaced = 0
@@ -264,15 +268,15 @@
             opens = now + self._opening_s(wanted, ahead, now)
             if waiter.found.done():
                 continue
-            if waiting.is_hopeless(wanted.claim, opens):
+            if queue_order.is_hopeless(wanted.claim, opens):
                 place = self._try(wanted, now)
                 self._settle(waiter, place or self._full(wanted, now))
             else:
                 ahead += 1
 
     def _try(
-        self, wanted: place_mod.Wanted, now: float
-    ) -> place_mod.Place | None:
+        self, wanted: reservation_mod.Wanted, now: float
+    ) -> reservation_mod.Place | None:
         """A place for one that looks hopeless, now and then.
 
         Only for one that would be in time if the figures were wrong, and
@@ -287,10 +291,10 @@
         return way and self._place(wanted, way, now)
 
     def _is_next(
-        self, wanted: place_mod.Wanted, way: _Way, now: float
+        self, wanted: reservation_mod.Wanted, way: _Way, now: float
     ) -> bool:
         """Whether no more go before it elsewhere than there are places."""
-        left = waiting.left(wanted.claim, now)
+        left = queue_order.left(wanted.claim, now)
         ahead = self._loads.ahead(left, self._vm, now)
         # Two prompts read at one time at one endpoint make all that run
         # there late, so that even few gateways take turns.
@@ -309,13 +313,15 @@
             places = min(places, self._prefill_places(wanted, now))
         return ahead < places
 
-    def _prefill_places(self, wanted: place_mod.Wanted, now: float) -> int:
+    def _prefill_places(
+        self, wanted: reservation_mod.Wanted, now: float
+    ) -> int:
         return self._chooser.prefill_places(
             wanted.service, self._pace.tokens_in(_QUEUE_S), now
         )
 
     def _in_place(
-        self, wanted: place_mod.Wanted, now: float
+        self, wanted: reservation_mod.Wanted, now: float
     ) -> endpoint_choice.InPlace | None:
         """How the decode endpoint reads the prompt, if it is to."""
         read_apart = self._split and not wanted.in_place
@@ -325,7 +331,7 @@
             return None
         return endpoint_choice.InPlace(rest_s=wanted.event_s)
 
-    def _way(self, wanted: place_mod.Wanted, now: float) -> _Way | None:
+    def _way(self, wanted: reservation_mod.Wanted, now: float) -> _Way | None:
         """How its prompt would be read now; None if it can't be."""
         in_place = self._in_place(wanted, now)
         if in_place is not None:
@@ -334,8 +340,8 @@
         return None if reader is None else _Way(reader, None)
 
     def _place(
-        self, wanted: place_mod.Wanted, way: _Way, now: float
-    ) -> place_mod.Place | None:
+        self, wanted: reservation_mod.Wanted, way: _Way, now: float
+    ) -> reservation_mod.Place | None:
         endpoint = self._chooser.decode(
             wanted.service,
             wanted.run,
@@ -354,7 +360,7 @@
         else:
             self._chooser.candidates.chose(way.reader, now)
             end_turn = self._loads.hold(way.reader.id, prompt=wanted.run.size)
-        return place_mod.Place(
+        return reservation_mod.Place(
             endpoint=endpoint,
             reader=way.reader,
             free=free,
@@ -364,7 +370,7 @@
         )
 
     def _reader(
-        self, wanted: place_mod.Wanted, now: float
+        self, wanted: reservation_mod.Wanted, now: float
     ) -> endpoints.Endpoint | None:
         """A prefill endpoint that reads the prompt without much delay."""
         return self._chooser.prefill(
@@ -387,7 +393,9 @@
         return end_turn
 
     def _settle(
-        self, waiter: _Waiter, place: place_mod.Place | place_mod.Full
+        self,
+        waiter: _Waiter,
+        place: reservation_mod.Place | reservation_mod.Full,
     ) -> None:
         self._waiters.remove(waiter)
         waiter.found.set_result(place)
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -3,12 +3,12 @@
 import contextlib
 from typing import NamedTuple
 
-from rackpost.decide import forwarding
+from rackpost.decide import retry_decision
 from rackpost import exceptions
 from rackpost.gateway import answer_check
+from rackpost.gateway import answer_relay
 from rackpost.gateway import call as call_mod
 from rackpost.gateway import endpoint_calls
-from rackpost.gateway import pass_on
 from rackpost.gateway import rate_grants
 from rackpost.http1 import client
 from rackpost.http1 import message
@@ -131,7 +131,7 @@
 
 async def run(
     call: call_mod.Call, endpoint: endpoints.Endpoint
-) -> forwarding.Ended | None:
+) -> retry_decision.Ended | None:
     """Have an endpoint run a request and pass its answer on.
 
     None once the client has the whole answer.  An own failure of the
@@ -148,7 +148,7 @@
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     exc: exceptions.ExchangeError,
-) -> forwarding.Ended:
+) -> retry_decision.Ended:
     """An endpoint takes no connection; the request was not sent."""
     if isinstance(exc, exceptions.Barred):
         return _barred(call, endpoint, exc)
@@ -160,13 +160,13 @@
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     exc: exceptions.Barred,
-) -> forwarding.Ended:
+) -> retry_decision.Ended:
     """Nothing may be sent there any more since it was chosen.
 
     That says nothing against the endpoint and uses up no attempt.
     """
     call.log("Not sent.", endpoint=endpoint.id, why=str(exc))
-    return forwarding.Ended.NOT_SENT
+    return retry_decision.Ended.NOT_SENT
 
 
 async def run_on(
@@ -175,7 +175,7 @@
     conn: client.ClientConnection,
     extra: list[message.Header],
     grant: rate_grants.Grant | None = None,
-) -> forwarding.Ended | None:
+) -> retry_decision.Ended | None:
     """As `run`, on a connection that is up, with further headers."""
     began = call.site.loop_time()
     if call.sampled or call.tried:
@@ -193,9 +193,9 @@
         ended = _barred(call, endpoint, exc)
     except exceptions.ExchangeError as exc:
         ended = _broke(call, endpoint, exc, began=began)
-    if ended is not forwarding.Ended.NOT_SENT:
+    if ended is not retry_decision.Ended.NOT_SENT:
         call.sent += 1
-    if ended in (forwarding.Ended.NOT_SENT, forwarding.Ended.NOT_RUN):
+    if ended in (retry_decision.Ended.NOT_SENT, retry_decision.Ended.NOT_RUN):
         call.may_have_run = ran_before
         if call.charge is not None:
             call.charge.not_run(call.site.loop_time())
@@ -231,7 +231,7 @@
     exc: exceptions.ExchangeError,
     *,
     began: float | None,
-) -> forwarding.Ended:
+) -> retry_decision.Ended:
     """Note that an attempt broke, sent at `began`; None if it was not."""
     site = call.site
     now = site.loop_time()
@@ -247,10 +247,10 @@
         others=site.loads.total(endpoint.id).requests,
     )
     if not exc.sent:
-        return forwarding.Ended.NOT_SENT
+        return retry_decision.Ended.NOT_SENT
     if began is not None:
         call.note_broken(endpoint, began=began)
-    return forwarding.Ended.BROKEN
+    return retry_decision.Ended.BROKEN
 
 
 async def _take(
@@ -258,18 +258,18 @@
     endpoint: endpoints.Endpoint,
     reply: Reply,
     began: float,
-) -> forwarding.Ended | None:
+) -> retry_decision.Ended | None:
     head = reply.head
     if answer_check.is_not_run(head):
         await reply.conn.read_whole(_MAX_ANSWER)
         _note_not_run(call, endpoint, head)
-        return forwarding.Ended.NOT_RUN
+        return retry_decision.Ended.NOT_RUN
     why = answer_check.why_unsound(head, call.request_id)
     if why:
         raise exceptions.ExchangeError(why)
     if answer_check.is_stream(head):
         call.site.health.answered(endpoint.id, call.site.loop_time() - began)
-        await pass_on.relay(call, head, reply.conn)
+        await answer_relay.relay(call, head, reply.conn)
         call.delivered(endpoint, head)
         return None
     return await _take_whole(call, endpoint, reply, began)
@@ -297,7 +297,7 @@
     endpoint: endpoints.Endpoint,
     reply: Reply,
     began: float,
-) -> forwarding.Ended | None:
+) -> retry_decision.Ended | None:
     body = await reply.conn.read_whole(_MAX_ANSWER)
     head = reply.head
     if call.responder.started:
@@ -307,10 +307,10 @@
         call.site.health.erred(endpoint.id)
         call.failure = call_mod.Failure(head=head, body=body)
         call.log("Endpoint failed.", endpoint=endpoint.id, status=head.status)
-        return forwarding.Ended.FAILED
+        return retry_decision.Ended.FAILED
     took = call.site.loop_time() - began
     if call.route.kind is not model.RouteKind.STREAM:
         call.site.health.answered(endpoint.id, took)
-    pass_on.pass_whole(call, head, body)
+    answer_relay.pass_whole(call, head, body)
     call.delivered(endpoint, head)
     return None
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from rackpost.decide import fingerprint
-from rackpost.decide import forwarding
+from rackpost.decide import retry_decision
 from rackpost.gateway import callers
 from rackpost.gateway import charge as charge_mod
 from rackpost.gateway import site as site_mod
@@ -146,9 +146,9 @@
             body=self.req.body,
         )
 
-    def situation(self, now: float) -> forwarding.Situation:
+    def situation(self, now: float) -> retry_decision.Situation:
         """What decides on a further attempt."""
-        return forwarding.Situation(
+        return retry_decision.Situation(
             repeatable=self.route.repeatable,
             may_have_run=self.may_have_run,
             attempts_left=self.route.max_attempts - len(self.ran_at),
--- a/rackpost/gateway/control_links.py
+++ b/rackpost/gateway/control_links.py
@@ -7,8 +7,8 @@
 from rackpost.coordinator import directory
 from rackpost.coordinator import links
 from rackpost.coordinator import messages
+from rackpost.decide import notice_relays
 from rackpost.decide import quarantine
-from rackpost.decide import relays
 from rackpost.gateway import routing_updates
 from rackpost.gateway import site as site_mod
 from rackpost.link import websocket
@@ -200,7 +200,9 @@
         """Tell news on to coordinators that may not reach each other."""
         site = self._site
         for item in changed:
-            if not relays.is_relay(site.host.vm, site.gateways, item.id):
+            if not notice_relays.is_relay(
+                site.host.vm, site.gateways, item.id
+            ):
                 continue
             self._tell_all(directory.news(item), but=source)
 
--- a/rackpost/gateway/forward.py
+++ b/rackpost/gateway/forward.py
@@ -3,11 +3,11 @@
 import asyncio
 
 from rackpost.decide import admission
-from rackpost.decide import forwarding
-from rackpost.decide import opening
+from rackpost.decide import plain_queue
+from rackpost.decide import retry_decision
+from rackpost.gateway import answer_relay
 from rackpost.gateway import attempt
 from rackpost.gateway import call as call_mod
-from rackpost.gateway import pass_on
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -127,8 +127,8 @@
     )
 
 
-def _rank(call: call_mod.Call) -> opening.Rank:
-    return opening.Rank(priority=call.priority, until=call.until)
+def _rank(call: call_mod.Call) -> plain_queue.Rank:
+    return plain_queue.Rank(priority=call.priority, until=call.until)
 
 
 def _choose_in_turn(call: call_mod.Call) -> endpoints.Endpoint | None:
@@ -184,7 +184,7 @@
     site = call.site
     name = call.service.name
     answer_s = site.chooser.usual_s(name, _role(call))
-    wait_s = opening.wait_s(
+    wait_s = plain_queue.wait_s(
         ahead=site.line(name).ahead(_rank(call)),
         count=len(site.chooser.candidates.members(name, _role(call))),
         answer_s=answer_s,
@@ -208,12 +208,12 @@
     return endpoint
 
 
-def goes_on(call: call_mod.Call, ended: forwarding.Ended) -> bool:
+def goes_on(call: call_mod.Call, ended: retry_decision.Ended) -> bool:
     """Whether to try again; if not, the client has been told."""
     now = call.site.loop_time()
-    step = forwarding.after(ended, call.situation(now))
-    if step is forwarding.Next.AGAIN:
-        if ended is not forwarding.Ended.NOT_SENT:
+    step = retry_decision.after(ended, call.situation(now))
+    if step is retry_decision.Next.AGAIN:
+        if ended is not retry_decision.Ended.NOT_SENT:
             call.budget.repeat(now)
             call.site.metrics.count("repeats", ended, call.route.name)
             call.log(
@@ -224,9 +224,9 @@
                 ),
             )
         return True
-    if step is forwarding.Next.PASS and call.failure is not None:
-        pass_on.pass_whole(call, call.failure.head, call.failure.body)
-    elif step is forwarding.Next.REFUSE:
+    if step is retry_decision.Next.PASS and call.failure is not None:
+        answer_relay.pass_whole(call, call.failure.head, call.failure.body)
+    elif step is retry_decision.Next.REFUSE:
         call.refuse(call_mod.Reason.REJECTED, come_back_s(call))
     else:
         call.fail(call_mod.Reason.BROKEN, 502)
@@ -236,7 +236,7 @@
 def give_up(call: call_mod.Call, reason: call_mod.Reason) -> None:
     """Nothing is left to try."""
     if call.failure is not None and not call.responder.started:
-        pass_on.pass_whole(call, call.failure.head, call.failure.body)
+        answer_relay.pass_whole(call, call.failure.head, call.failure.body)
     elif call.may_have_run:
         call.fail(reason, 502)
     else:
--- a/rackpost/gateway/generate.py
+++ b/rackpost/gateway/generate.py
@@ -7,15 +7,15 @@
 import contextlib
 from typing import Callable
 
-from rackpost.decide import forwarding
 from rackpost.decide import kv_forecast
-from rackpost.decide import waiting
+from rackpost.decide import queue_order
+from rackpost.decide import retry_decision
 from rackpost import exceptions
 from rackpost.gateway import attempt
 from rackpost.gateway import call as call_mod
 from rackpost.gateway import forward
-from rackpost.gateway import place as place_mod
 from rackpost.gateway import prefill
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.platform import headers
 from rackpost.routing import endpoints
 from rackpost.routing import model
@@ -76,7 +76,7 @@
             place = self._kept_place() or await call.site.room.wait(
                 self._wanted()
             )
-            if isinstance(place, place_mod.Full):
+            if isinstance(place, reservation_mod.Full):
                 self._refuse_full(place)
                 return
             if call.end_if_barred():
@@ -90,10 +90,10 @@
             if ended is None or not forward.goes_on(call, ended):
                 self._read.release()
                 return
-            if ended is forwarding.Ended.BROKEN:
+            if ended is retry_decision.Ended.BROKEN:
                 self._broke_at = place.endpoint
 
-    def _kept_place(self) -> place_mod.Place | None:
+    def _kept_place(self) -> reservation_mod.Place | None:
         """The place of a run whose connection broke, if it may be kept.
 
         An endpoint that is well still has the KV cache: going on there
@@ -108,7 +108,7 @@
             self._call.log("Goes on where it broke.", endpoint=endpoint.id)
         return place
 
-    def _on_event(self, place: place_mod.Place) -> Callable[[], None]:
+    def _on_event(self, place: reservation_mod.Place) -> Callable[[], None]:
         progress = self._progress
         site = self._call.site
         began = 0.0
@@ -125,7 +125,7 @@
 
         return on_event
 
-    def _note_start(self, place: place_mod.Place) -> None:
+    def _note_start(self, place: reservation_mod.Place) -> None:
         """The first event has come; learn from how long it took."""
         if place.reader is not None:
             site = self._call.site
@@ -145,9 +145,9 @@
             self._call.began, prompt=self._prompt, out=out, share=share
         )
 
-    def _wanted(self) -> place_mod.Wanted:
+    def _wanted(self) -> reservation_mod.Wanted:
         call = self._call
-        return place_mod.Wanted(
+        return reservation_mod.Wanted(
             service=call.service.name,
             capacity=self._engine.memory_tokens,
             run=self._progress.run,
@@ -157,11 +157,11 @@
             claim=self._claim(),
         )
 
-    def _claim(self) -> waiting.Claim:
+    def _claim(self) -> queue_order.Claim:
         call = self._call
         pace = call.site.pace
         start_s = pace.start_s(self._prompt)
-        return waiting.Claim(
+        return queue_order.Claim(
             priority=call.priority,
             target=self._target(),
             start_by=self._start_by(),
@@ -190,7 +190,9 @@
         leaves = began + call.route.silence_s
         return min(call.until, leaves - _BEFORE_LEAVING_S)
 
-    async def _run_at(self, place: place_mod.Place) -> forwarding.Ended | None:
+    async def _run_at(
+        self, place: reservation_mod.Place
+    ) -> retry_decision.Ended | None:
         call = self._call
         decode = place.endpoint
         try:
@@ -201,7 +203,7 @@
                 grant = await enter(attempt.granted(call, decode))
                 if not await self._can_run(place):
                     self._in_place = True
-                    return forwarding.Ended.NOT_SENT
+                    return retry_decision.Ended.NOT_SENT
                 self._in_place = False
                 began = call.site.loop_time()
                 ended = await attempt.run_on(
@@ -211,7 +213,7 @@
             return attempt.not_connected(call, decode, exc)
         if ended is None:
             self._note_made(call.site.loop_time() - began)
-        elif ended is not forwarding.Ended.NOT_SENT:
+        elif ended is not retry_decision.Ended.NOT_SENT:
             self._read.release()
         return ended
 
@@ -223,7 +225,7 @@
         site.pace.made(made, took_s)
         site.lengths.ended(guess=self._guess, made=made)
 
-    async def _can_run(self, place: place_mod.Place) -> bool:
+    async def _can_run(self, place: reservation_mod.Place) -> bool:
         """Whether the prompt is read, or it is its turn to be in place."""
         if self._read.is_fresh(self._engine):
             return True
@@ -235,7 +237,7 @@
         place.was_read()
         return self._read.is_fresh(self._engine)
 
-    async def _prefill(self, place: place_mod.Place) -> None:
+    async def _prefill(self, place: reservation_mod.Place) -> None:
         call = self._call
         now = call.site.loop_time()
         first = not self._read.arrivals and not call.sent
@@ -250,7 +252,7 @@
         ends_at = self._call.site.planned_stop.ends_at
         return self._call.site.loop_time() + claim.run_s > ends_at
 
-    def _refuse_full(self, full: place_mod.Full) -> None:
+    def _refuse_full(self, full: reservation_mod.Full) -> None:
         call = self._call
         if self._would_be_cut() and not call.may_have_run:
             # Nothing is full: others take it at once, and as a new one.
--- a/rackpost/gateway/process.py
+++ b/rackpost/gateway/process.py
@@ -7,7 +7,7 @@
 from rackpost.coordinator import links
 from rackpost.gateway import control_links
 from rackpost.gateway import handler as handler_mod
-from rackpost.gateway import load_share
+from rackpost.gateway import load_exchange
 from rackpost.gateway import policy as policy_mod
 from rackpost.gateway import site as site_mod
 from rackpost.http1 import address
@@ -94,7 +94,7 @@
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[None]:
         """Serve until the block ends."""
-        share = load_share.LoadShare(site=self.site)
+        share = load_exchange.LoadShare(site=self.site)
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self._links.close)
             stack.callback(self.site.pool.close)
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -13,9 +13,9 @@
 from rackpost.coordinator import messages
 from rackpost.decide import eligibility
 from rackpost.decide import endpoint_load
-from rackpost.decide import groups
+from rackpost.decide import endpoint_rates
+from rackpost.decide import gateway_groups
 from rackpost.decide import rate_grants
-from rackpost.decide import rates
 from rackpost import exceptions
 from rackpost.http1 import address
 from rackpost.link import codec
@@ -82,7 +82,7 @@
         vm: types.VmId,
         eligible: eligibility.Eligibility,
         loads: endpoint_load.LoadBook,
-        group: groups.Group,
+        group: gateway_groups.Group,
         metrics: metrics_mod.Metrics,
         rng: random.Random,
     ) -> None:
@@ -110,7 +110,7 @@
         self._eligible.forget_rates()
         self._book.forget(self._loop.time() - _KEEP_S)
 
-    def told(self, told: rates.Told, now: float) -> None:
+    def told(self, told: endpoint_rates.Told, now: float) -> None:
         """Another gateway tells what an endpoint's answers named."""
         if not self._eligible.rates.told(told, now):
             return
@@ -227,7 +227,7 @@
         if known is not None:
             self.send(codec.encode(msg), address.split(known.loads))
 
-    def _rate(self, key: endpoints.Incarnation) -> rates.Told:
+    def _rate(self, key: endpoints.Incarnation) -> endpoint_rates.Told:
         """What is known here of a rate."""
         return self._eligible.rates.tell_one(key, self._loop.time())
 
--- a/rackpost/gateway/place.py
+++ b/rackpost/gateway/reservation.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from rackpost.decide import kv_forecast
-from rackpost.decide import waiting
+from rackpost.decide import queue_order
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -25,7 +25,7 @@
     capacity: int
     run: kv_forecast.Run
     but: Sequence[types.EndpointId]
-    claim: waiting.Claim
+    claim: queue_order.Claim
     event_s: float = 0.0
     in_place: bool = False
 
--- a/rackpost/gateway/site.py
+++ b/rackpost/gateway/site.py
@@ -14,20 +14,20 @@
 from rackpost.decide import endpoint_choice
 from rackpost.decide import endpoint_health
 from rackpost.decide import endpoint_load
-from rackpost.decide import groups
-from rackpost.decide import opening
-from rackpost.decide import pace as pace_mod
+from rackpost.decide import gateway_groups
+from rackpost.decide import plain_queue
 from rackpost.decide import quota
 from rackpost.decide import quota_buckets
 from rackpost.decide import quota_use
-from rackpost.decide import refused as refused_mod
+from rackpost.decide import recent_refusals as recent_refusals_mod
 from rackpost.decide import retry_budget
 from rackpost.decide import role_balance
+from rackpost.decide import token_timing as token_timing_mod
+from rackpost.gateway import admission_queue as admission_queue_mod
+from rackpost.gateway import crash_tracker as crash_tracker_mod
 from rackpost.gateway import planned_stop
 from rackpost.gateway import policy as policy_mod
 from rackpost.gateway import rate_grants
-from rackpost.gateway import room as room_mod
-from rackpost.gateway import suspects as suspects_mod
 from rackpost.http1 import pool as pool_mod
 from rackpost import logs
 from rackpost import metrics as metrics_mod
@@ -66,13 +66,13 @@
         # Set once there are routes.
         self.routed = asyncio.Event()
         self.table = endpoints.EndpointTable()
-        self.suspects = suspects_mod.Suspects(table=self.table)
+        self.suspects = crash_tracker_mod.Suspects(table=self.table)
         self.loads_changed = asyncio.Event()
         self.loads = endpoint_load.LoadBook(changed=self.loads_changed.set)
         self.room_changed = asyncio.Event()
         self.health = endpoint_health.HealthBook()
         self.pool = pool_mod.Pool(id_header=headers.REQUEST_ID)
-        self.group = groups.Group(vm=host.vm)
+        self.group = gateway_groups.Group(vm=host.vm)
         self.eligible = eligibility.Eligibility(table=self.table, rng=self.rng)
         self.chooser = endpoint_choice.Chooser(
             candidates=candidates.Candidates(
@@ -87,10 +87,10 @@
             data_centre=host.data_centre,
             rng=self.rng,
         )
-        self.pace = pace_mod.Pace()
+        self.pace = token_timing_mod.Pace()
         self.lengths = answer_lengths.AnswerLengths()
-        self.refused = refused_mod.RefusedBook()
-        self.room = room_mod.Room(
+        self.refused = recent_refusals_mod.RefusedBook()
+        self.room = admission_queue_mod.Room(
             chooser=self.chooser,
             loads=self.loads,
             pace=self.pace,
@@ -117,7 +117,7 @@
         self.gateways: dict[types.VmId, messages.GatewayAddress] = {}
         self.planned_stop = planned_stop.PlannedStop()
         self._told: set[types.VmId] = set()
-        self._lines: dict[types.ServiceName, opening.Line] = {}
+        self._lines: dict[types.ServiceName, plain_queue.Line] = {}
         self._meters: dict[types.ServiceName, role_balance.DemandMeter] = {}
         self._budgets: dict[types.ServiceName, retry_budget.RetryBudget] = {}
 
@@ -205,9 +205,9 @@
             self._budgets[service] = found
         return found
 
-    def line(self, service: types.ServiceName) -> opening.Line:
+    def line(self, service: types.ServiceName) -> plain_queue.Line:
         """Those that wait here for a plain service."""
-        return self._lines.setdefault(service, opening.Line())
+        return self._lines.setdefault(service, plain_queue.Line())
 
     def meter(self, service: types.ServiceName) -> role_balance.DemandMeter:
         """What this gateway's clients ask of a model service."""
--- a/rackpost/platform/headers.py
+++ b/rackpost/platform/headers.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 from typing import Sequence
 
-from rackpost.decide import rates
+from rackpost.decide import endpoint_rates
 from rackpost.http1 import message
 from rackpost.http1 import retry_after
 from rackpost.platform import keys
@@ -117,15 +117,15 @@
     return message.find(head.headers, _LEAVING) == b"1"
 
 
-def named_rate(head: message.Head) -> rates.Named:
+def named_rate(head: message.Head) -> endpoint_rates.Named:
     """The rate of requests that an endpoint's answer names."""
     told = [value for name, value in head.headers if name == _RATE]
     if not told:
-        return rates.Named()
+        return endpoint_rates.Named()
     number = told[0].strip()
     if len(told) > 1 or not _DECIMAL.fullmatch(number):
-        return rates.Named(unreadable=True)
-    return rates.Named(per_s=float(number))
+        return endpoint_rates.Named(unreadable=True)
+    return endpoint_rates.Named(per_s=float(number))
 
 
 def own_part(headers: Sequence[message.Header]) -> bytes:
--- a/rackpost/testing/fleet.py
+++ b/rackpost/testing/fleet.py
@@ -22,10 +22,10 @@
 from rackpost.decide import endpoint_health
 from rackpost.decide import endpoint_load
 from rackpost.decide import kv_forecast
-from rackpost.decide import pace as pace_mod
-from rackpost.decide import waiting
-from rackpost.gateway import place as place_mod
-from rackpost.gateway import room as room_mod
+from rackpost.decide import queue_order
+from rackpost.decide import token_timing as token_timing_mod
+from rackpost.gateway import admission_queue as admission_queue_mod
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -215,7 +215,7 @@
         self.changed = asyncio.Event()
         self.loads = endpoint_load.LoadBook(changed=self.told.set)
         self.health = endpoint_health.HealthBook()
-        self.pace = pace_mod.Pace()
+        self.pace = token_timing_mod.Pace()
         self.lengths = answer_lengths.AnswerLengths()
         self.number = 0
         rng = random.Random(number)
@@ -237,7 +237,7 @@
             rng=rng,
         )
         chooser.set_gateways(spec.gateways)
-        self.room = room_mod.Room(
+        self.room = admission_queue_mod.Room(
             chooser=chooser,
             loads=self.loads,
             pace=self.pace,
@@ -406,7 +406,7 @@
         place = await gateway.room.wait(
             _wanted(spec, gateway.pace, progress.run, began)
         )
-        if isinstance(place, place_mod.Full):
+        if isinstance(place, reservation_mod.Full):
             self.outcome.refused += 1
             return True
         try:
@@ -437,18 +437,18 @@
 
 def _wanted(
     spec: Spec,
-    pace: pace_mod.Pace,
+    pace: token_timing_mod.Pace,
     run: kv_forecast.Run,
     began: float,
-) -> place_mod.Wanted:
+) -> reservation_mod.Wanted:
     start_s = pace.start_s(run.size)
-    return place_mod.Wanted(
+    return reservation_mod.Wanted(
         service=SERVICE,
         capacity=spec.memory,
         run=run,
         but=(),
         event_s=pace.making_s(spec.event),
-        claim=waiting.Claim(
+        claim=queue_order.Claim(
             priority=1,
             target=began + spec.target_s,
             start_by=began + _PATIENCE * spec.target_s,
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -17,9 +17,9 @@
 from rackpost.coordinator import messages
 from rackpost.decide import eligibility
 from rackpost.decide import endpoint_load
-from rackpost.decide import groups
+from rackpost.decide import endpoint_rates
+from rackpost.decide import gateway_groups
 from rackpost.decide import rate_grants as rate_decisions
-from rackpost.decide import rates
 from rackpost import exceptions
 from rackpost.gateway import rate_grants
 from rackpost.http1 import address
@@ -213,7 +213,7 @@
         table.take(ENDPOINT, 0.0)
         self._eligible = eligibility.Eligibility(table=table, rng=world.rng)
         self._eligible.rates.answered(
-            ENDPOINT, rates.Named(per_s=world.spec.rate), world.now()
+            ENDPOINT, endpoint_rates.Named(per_s=world.spec.rate), world.now()
         )
         self._loads = endpoint_load.LoadBook(changed=lambda: None)
         self._number = 0
@@ -222,7 +222,7 @@
             vm=vm,
             eligible=self._eligible,
             loads=self._loads,
-            group=groups.Group(vm=vm),
+            group=gateway_groups.Group(vm=vm),
             metrics=metrics.Metrics(),
             rng=world.rng,
         )
--- a/rackpost/testing/site.py
+++ b/rackpost/testing/site.py
@@ -11,9 +11,9 @@
 
 from rackpost.agent import core as agent_core
 from rackpost.agent import engine as engine_mod
-from rackpost.decide import book as book_mod
-from rackpost.decide import events
+from rackpost.decide import declared_events
 from rackpost.decide import placement
+from rackpost.decide import reservations as reservations_mod
 from rackpost.entry import claims as claims_mod
 from rackpost.entry import core as entry_core
 from rackpost.entry import pool
@@ -65,12 +65,12 @@
         self.agent.close()
 
 
-BookMaker = Callable[[book_mod.EndpointSpec], book_mod.Book]
+BookMaker = Callable[[reservations_mod.EndpointSpec], reservations_mod.Book]
 
 
-def promise_book(spec: book_mod.EndpointSpec) -> book_mod.Book:
+def promise_book(spec: reservations_mod.EndpointSpec) -> reservations_mod.Book:
     """The product's book."""
-    return book_mod.PromiseBook(spec=spec)
+    return reservations_mod.PromiseBook(spec=spec)
 
 
 class Site:
@@ -92,7 +92,7 @@
         self.engines: dict[str, engine.StandInEngine] = {}
         self.nodes: dict[str, Node] = {}
         self.entries: list[entry_core.Entry] = []
-        self.events: list[events.Declared] = []
+        self.events: list[declared_events.Declared] = []
         self._seed = seed
         self._make_book = make_book
         self._claims = claims
@@ -133,14 +133,14 @@
             ledger=self.ledger,
         )
 
-    def spec_of(self, place: Place) -> book_mod.EndpointSpec:
+    def spec_of(self, place: Place) -> reservations_mod.EndpointSpec:
         """What the operator states of an endpoint."""
         spec = self.engine_spec
         if place.role is types.Role.PLAIN:
-            return book_mod.EndpointSpec(
+            return reservations_mod.EndpointSpec(
                 role=place.role, slots=plain.SLOTS, step_s=plain.CALL_S
             )
-        return book_mod.EndpointSpec(
+        return reservations_mod.EndpointSpec(
             role=place.role,
             slots=spec.slots,
             prefill_tokens_s=spec.prefill_tokens_s,
--- a/tests/test_room.py
+++ b/tests/test_admission_queue.py
@@ -9,10 +9,10 @@
 from rackpost.decide import endpoint_health
 from rackpost.decide import endpoint_load
 from rackpost.decide import kv_forecast
-from rackpost.decide import pace
-from rackpost.decide import waiting
-from rackpost.gateway import place as place_mod
-from rackpost.gateway import room
+from rackpost.decide import queue_order
+from rackpost.decide import token_timing
+from rackpost.gateway import admission_queue
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.routing import endpoints
 from rackpost.testing import virtual
 from rackpost import types
@@ -39,9 +39,9 @@
         self.eligible = eligibility.Eligibility(
             table=self.table, rng=random.Random(1)
         )
-        known = pace.Pace()
+        known = token_timing.Pace()
         known.made(100, 3.0)
-        self.room = room.Room(
+        self.room = admission_queue.Room(
             chooser=endpoint_choice.Chooser(
                 candidates=candidates.Candidates(
                     table=self.table,
@@ -129,11 +129,11 @@
                     other.changed.set()
 
     async def generate(
-        self, gateway: Gateway, needs: place_mod.Wanted
-    ) -> place_mod.Place | place_mod.Full:
+        self, gateway: Gateway, needs: reservation_mod.Wanted
+    ) -> reservation_mod.Place | reservation_mod.Full:
         """Wait for a place and have the prompt read, as a request does."""
         place = await gateway.room.wait(needs)
-        if isinstance(place, place_mod.Place):
+        if isinstance(place, reservation_mod.Place):
             await asyncio.sleep(_READ_S)
             gateway.room._pace.took(needs.run.size, _READ_S)
             place.was_read()
@@ -151,13 +151,13 @@
             task.cancel()
 
 
-def wanted(now: float, left_s: float) -> place_mod.Wanted:
-    return place_mod.Wanted(
+def wanted(now: float, left_s: float) -> reservation_mod.Wanted:
+    return reservation_mod.Wanted(
         service=SERVICE,
         capacity=100_000,
         run=kv_forecast.Run(size=1000, left=1000),
         but=(),
-        claim=waiting.Claim(
+        claim=queue_order.Claim(
             priority=1,
             target=now + left_s,
             start_by=now + 60.0,
@@ -194,7 +194,7 @@
         placed = [task for task in waits if task.done()]
         for task in placed:
             place = task.result()
-            assert isinstance(place, place_mod.Place)
+            assert isinstance(place, reservation_mod.Place)
             place.release()
         # What is released is taken by others, again by few at a time.
         for _ in range(300):
--- a/tests/test_come_back.py
+++ b/tests/test_come_back.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from rackpost.control import platform
-from rackpost.decide import come_back
+from rackpost.decide import retry_after
 from rackpost.testing import cluster
 from rackpost.testing import virtual
 from rackpost import types
@@ -13,13 +13,13 @@
 
 
 def test_a_longer_backlog_and_denser_work_send_callers_back_later() -> None:
-    idle = come_back.after(FULL, backlog_s=0.0, denser=0.0)
-    busy = come_back.after(FULL, backlog_s=2.0, denser=0.0)
-    rush = come_back.after(FULL, backlog_s=2.0, denser=0.9)
-    never = come_back.after(FULL, backlog_s=99.0, denser=5.0)
+    idle = retry_after.after(FULL, backlog_s=0.0, denser=0.0)
+    busy = retry_after.after(FULL, backlog_s=2.0, denser=0.0)
+    rush = retry_after.after(FULL, backlog_s=2.0, denser=0.9)
+    never = retry_after.after(FULL, backlog_s=99.0, denser=5.0)
     assert idle == 0.5 < busy < rush < never == 30.0
     away = types.Refusal.CONTROL_AWAY
-    assert come_back.after(away, backlog_s=9.0, denser=0.9) == 2.0
+    assert retry_after.after(away, backlog_s=9.0, denser=0.9) == 2.0
 
 
 class _Listed(platform.PlatformList):
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+from rackpost.decide import declared_events
 from rackpost.decide import demand
-from rackpost.decide import events
 from rackpost.entry import core
 from rackpost.testing import virtual
 from rackpost import types
@@ -28,10 +28,10 @@
 
 
 def test_a_declared_kind_counts_until_it_has_not_shown() -> None:
-    declared = [events.Declared(100.0, 60.0, (KIND,), 30.0)]
+    declared = [declared_events.Declared(100.0, 60.0, (KIND,), 30.0)]
 
     def rate(now: float, seen: float) -> float:
-        found = events.expected(declared, seen={KIND: seen}, now=now)
+        found = declared_events.expected(declared, seen={KIND: seen}, now=now)
         return found.get(KIND, 0.0)
 
     assert rate(90.0, 0.0) == 0.0
--- a/tests/test_rates.py
+++ b/tests/test_endpoint_rates.py
@@ -2,16 +2,16 @@
 
 import pytest
 
-from rackpost.decide import rates
+from rackpost.decide import endpoint_rates
 from rackpost.http1 import message
 from rackpost.platform import headers
 from tests import test_eligibility
 
-NONE = rates.Named()
+NONE = endpoint_rates.Named()
 
 
-def rate(per_s: float) -> rates.Named:
-    return rates.Named(per_s=per_s)
+def rate(per_s: float) -> endpoint_rates.Named:
+    return endpoint_rates.Named(per_s=per_s)
 
 
 def answer(*told: bytes, status: int = 200) -> message.Head:
@@ -53,18 +53,20 @@
     """A book, and an endpoint whose answers it notes."""
 
     def __init__(self) -> None:
-        self.book = rates.RateBook()
+        self.book = endpoint_rates.RateBook()
         self.one = test_eligibility.endpoint("a", born=1)
 
-    def answers(self, named: rates.Named, now: float) -> bool:
+    def answers(self, named: endpoint_rates.Named, now: float) -> bool:
         return self.book.answered(self.one, named, now)
 
     @property
     def per_s(self) -> float | None:
         return self.book.per_s(self.one)
 
-    def told(self, per_s: float | None, age_s: float = 0.0) -> rates.Told:
-        return rates.Told(
+    def told(
+        self, per_s: float | None, age_s: float = 0.0
+    ) -> endpoint_rates.Told:
+        return endpoint_rates.Told(
             endpoint=self.one.id, born=1, per_s=per_s, age_s=age_s
         )
 
@@ -84,7 +86,9 @@
     known = Known()
     known.answers(rate(3.0), 1.0)
     for at in range(10):
-        assert not known.answers(rates.Named(unreadable=True), 2.0 + at)
+        assert not known.answers(
+            endpoint_rates.Named(unreadable=True), 2.0 + at
+        )
     assert known.per_s == 3.0
     assert known.book.is_first_unreadable(known.one)
     assert not known.book.is_first_unreadable(known.one)
@@ -168,7 +172,7 @@
 
 
 def test_of_thousands_not_more_is_told_than_a_datagram_carries() -> None:
-    book = rates.RateBook()
+    book = endpoint_rates.RateBook()
     for number in range(2000):
         one = test_eligibility.endpoint(f"e{number}", born=1)
         book.answered(one, rate(3.0), 1.0)
--- a/tests/test_engine_backoff.py
+++ b/tests/test_engine_backoff.py
@@ -10,7 +10,7 @@
 import pytest
 
 from rackpost.agent import engine_http
-from rackpost.decide import health
+from rackpost.decide import circuit_breaker
 from rackpost.decide import slots
 from rackpost import exceptions
 from rackpost.http1 import message
@@ -52,11 +52,11 @@
 
 
 def test_an_endpoint_is_not_promised_in_the_time_that_it_asked_for() -> None:
-    seen = health.Health(rng=random.Random(1))
+    seen = circuit_breaker.Health(rng=random.Random(1))
     seen.asked(3.0, 10.0)
-    assert seen.state(12.9) is health.State.AVOIDED
+    assert seen.state(12.9) is circuit_breaker.State.AVOIDED
     # What it still runs says nothing of what it takes.
     seen.succeeded(took_s=1.0, predicted_s=1.0, now=11.0)
     seen.asked(0.5, 11.0)
-    assert seen.state(12.9) is health.State.AVOIDED
-    assert seen.state(13.0) is health.State.GOOD
+    assert seen.state(12.9) is circuit_breaker.State.AVOIDED
+    assert seen.state(13.0) is circuit_breaker.State.GOOD
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -14,8 +14,8 @@
 from rackpost.decide import endpoint_health
 from rackpost.decide import endpoint_load
 from rackpost.decide import kv_forecast
-from rackpost.decide import pace
-from rackpost.decide import waiting
+from rackpost.decide import queue_order
+from rackpost.decide import token_timing
 from rackpost.http1 import events
 from rackpost.routing import endpoints
 from rackpost import types
@@ -70,8 +70,8 @@
     return kv_forecast.Run(size=size, left=left)
 
 
-def claim(target: float, priority: int = 1) -> waiting.Claim:
-    return waiting.Claim(
+def claim(target: float, priority: int = 1) -> queue_order.Claim:
+    return queue_order.Claim(
         priority=priority,
         target=target,
         start_by=target + 3.0,
@@ -301,19 +301,19 @@
     urgent = claim(1.9, priority=0)
     ordered = sorted(
         [late, later, soon, urgent],
-        key=lambda item: waiting.order(item, 1.0),
+        key=lambda item: queue_order.order(item, 1.0),
     )
     assert ordered == [urgent, soon, later, late]
-    assert not waiting.is_hopeless(late, 3.2)
+    assert not queue_order.is_hopeless(late, 3.2)
     # Its client leaves a silent stream long before its time is up.
-    assert waiting.is_hopeless(late, 3.4)
+    assert queue_order.is_hopeless(late, 3.4)
 
 
 def test_ranks_agree_with_the_order_and_age() -> None:
     claims = [claim(0.5), claim(1.3), claim(1.8), claim(1.9, priority=0)]
-    by_order = sorted(claims, key=lambda item: waiting.order(item, 1.0))
+    by_order = sorted(claims, key=lambda item: queue_order.order(item, 1.0))
     by_rank = sorted(
-        claims, key=lambda item: waiting.left(item, 1.0).rank(0.0)
+        claims, key=lambda item: queue_order.left(item, 1.0).rank(0.0)
     )
     assert by_order == by_rank
 
@@ -323,8 +323,10 @@
     loads = endpoint_load.LoadBook(changed=nothing)
     other = types.VmId("g2")
 
-    def left(slack_s: float) -> waiting.Left:
-        return waiting.Left(priority=1, slack_s=slack_s, start_s=slack_s + 3)
+    def left(slack_s: float) -> queue_order.Left:
+        return queue_order.Left(
+            priority=1, slack_s=slack_s, start_s=slack_s + 3
+        )
 
     loads.take(other, 1, 1, {}, 0.0, (left(5.0), left(9.0)))
     me = types.VmId("g3")
@@ -354,9 +356,9 @@
     assert count == 1 + 3
 
 
-def patient(**more: float) -> waiting.Claim:
+def patient(**more: float) -> queue_order.Claim:
     """A request of whose 14 s none have gone."""
-    usual = waiting.Claim(
+    usual = queue_order.Claim(
         priority=1,
         target=0.9,
         start_by=3.5,
@@ -369,28 +371,28 @@
 
 def test_who_would_be_late_waits_and_who_cannot_be_served_does_not() -> None:
     """Worth counts from the first try: a refusal wins nobody anything."""
-    wait_s = waiting.expected_wait_s(ahead=3, running=20, run_s=4.0)
+    wait_s = queue_order.expected_wait_s(ahead=3, running=20, run_s=4.0)
     assert abs(wait_s - 0.8) < 1e-9
-    assert not waiting.is_known_hopeless(patient(), 0.7, 0.0)
-    assert not waiting.is_known_hopeless(patient(), 3.3, 0.0)
-    assert waiting.is_known_hopeless(patient(), 3.5, 0.0)
+    assert not queue_order.is_known_hopeless(patient(), 0.7, 0.0)
+    assert not queue_order.is_known_hopeless(patient(), 3.3, 0.0)
+    assert queue_order.is_known_hopeless(patient(), 3.5, 0.0)
     # It could begin, and would not end.
-    assert waiting.is_known_hopeless(patient(run_s=13.0), 1.5, 0.0)
+    assert queue_order.is_known_hopeless(patient(run_s=13.0), 1.5, 0.0)
     # One that came back is told so, too.
-    assert waiting.is_known_hopeless(patient(came_back=True), 3.5, 0.0)
+    assert queue_order.is_known_hopeless(patient(came_back=True), 3.5, 0.0)
 
 
 def test_a_time_to_come_back_is_one_that_clients_heed() -> None:
     for chance in (0.0, 0.5, 1.0):
-        after = waiting.come_back_s(patient(), 0.9, 0.0, chance)
+        after = queue_order.come_back_s(patient(), 0.9, 0.0, chance)
         assert 0.9 <= after <= 14.0 / 3
-    assert waiting.come_back_s(patient(), 60.0, 0.0, 1.0) <= 14.0 / 3
+    assert queue_order.come_back_s(patient(), 60.0, 0.0, 1.0) <= 14.0 / 3
     # Late in a planned stop it was told to come back before now.
-    assert waiting.come_back_s(patient(), 0.9, 14.5, 1.0) == 0.0
+    assert queue_order.come_back_s(patient(), 0.9, 14.5, 1.0) == 0.0
 
 
-def pace_of(*, token_s: float) -> pace.Pace:
-    known = pace.Pace()
+def pace_of(*, token_s: float) -> token_timing.Pace:
+    known = token_timing.Pace()
     known.took(1000, 1000 * token_s)
     return known
 
@@ -476,7 +478,7 @@
 
 
 def test_patience_with_a_prefill_follows_the_pace_seen() -> None:
-    seen = pace.Pace()
+    seen = token_timing.Pace()
     assert seen.patience_s(5000) == 1.0
     for _ in range(50):
         seen.took(5000, 0.1)
--- a/tests/test_groups.py
+++ b/tests/test_gateway_groups.py
@@ -10,7 +10,7 @@
 from rackpost.decide import endpoint_choice
 from rackpost.decide import endpoint_health
 from rackpost.decide import endpoint_load
-from rackpost.decide import groups
+from rackpost.decide import gateway_groups
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 21, 68, 96])
 def test_some_gateways_share_all_endpoints(gateways: int) -> None:
-    assert groups.count(gateways) == 1
+    assert gateway_groups.count(gateways) == 1
 
 
 @pytest.mark.parametrize("gateways", [97, 285, 370, 1000])
@@ -32,9 +32,9 @@
     gateways: int,
 ) -> None:
     """So do the messages that a gateway sends and takes."""
-    count = groups.count(gateways)
+    count = gateway_groups.count(gateways)
     sizes = collections.Counter(
-        groups.of(name, count) for name in names("edge", gateways)
+        gateway_groups.of(name, count) for name in names("edge", gateways)
     )
     assert len(sizes) == count
     assert max(sizes.values()) <= 90
@@ -43,7 +43,10 @@
 
 def test_little_moves_when_there_is_one_group_more() -> None:
     found = names("i", 3000)
-    moved = sum(groups.of(name, 5) != groups.of(name, 6) for name in found)
+    moved = sum(
+        gateway_groups.of(name, 5) != gateway_groups.of(name, 6)
+        for name in found
+    )
     assert moved < 0.25 * len(found)
 
 
@@ -64,7 +67,7 @@
     table = endpoints.EndpointTable()
     for item in found:
         table.take(item, 0.0)
-    group = groups.Group(vm=types.VmId(vm))
+    group = gateway_groups.Group(vm=types.VmId(vm))
     group.set_gateways(gateways)
     return endpoint_choice.Chooser(
         candidates=candidates.Candidates(
@@ -95,7 +98,7 @@
     found = [endpoint(n, types.Role.DECODE) for n in names("i", 600)]
     by_group: dict[int, set[str]] = {}
     for vm in names("edge", 285):
-        number = groups.of(vm, groups.count(285))
+        number = gateway_groups.of(vm, gateway_groups.count(285))
         mine = chosen_from(vm, 285, found, types.Role.DECODE)
         assert by_group.setdefault(number, mine) == mine
         assert 80 < len(mine) < 170
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -2,13 +2,13 @@
 
 import itertools
 
-from rackpost.decide import forwarding
-from rackpost.decide import refused
+from rackpost.decide import recent_refusals
 from rackpost.decide import retry_budget
+from rackpost.decide import retry_decision
 
 
 def test_a_request_is_known_again_at_another_gateway() -> None:
-    here, there = refused.RefusedBook(), refused.RefusedBook()
+    here, there = recent_refusals.RefusedBook(), recent_refusals.RefusedBook()
     key = here.key("r", b"part", b"body")
     assert key != here.key("q", b"part", b"body")
     here.add(key, 1.0)
@@ -65,13 +65,13 @@
 def test_what_may_not_repeat_is_never_sent_twice_after_it_may_have_run() -> (
     None
 ):
-    ends = list(forwarding.Ended)
+    ends = list(retry_decision.Ended)
     for ended, ran, left, budget, time_s in itertools.product(
         ends, (False, True), (0, 1), (False, True), (0.0, 1.0)
     ):
-        step = forwarding.after(
+        step = retry_decision.after(
             ended,
-            forwarding.Situation(
+            retry_decision.Situation(
                 repeatable=False,
                 may_have_run=ran,
                 attempts_left=left,
@@ -79,12 +79,15 @@
                 time_left_s=time_s,
             ),
         )
-        sent = ended in (forwarding.Ended.BROKEN, forwarding.Ended.FAILED)
+        sent = ended in (
+            retry_decision.Ended.BROKEN,
+            retry_decision.Ended.FAILED,
+        )
         if sent:
-            assert step in (forwarding.Next.FAIL, forwarding.Next.PASS)
-        if step is forwarding.Next.REFUSE:
+            assert step in (retry_decision.Next.FAIL, retry_decision.Next.PASS)
+        if step is retry_decision.Next.REFUSE:
             assert not ran and not sent
-        if ended is forwarding.Ended.NOT_RUN and step is (
-            forwarding.Next.AGAIN
+        if ended is retry_decision.Ended.NOT_RUN and step is (
+            retry_decision.Next.AGAIN
         ):
             assert left and budget and time_s
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from rackpost.agent import segments
+from rackpost.agent import prompt_chunks
 from rackpost.control import messages as control
 from rackpost.entry import openai
 from rackpost import exceptions
@@ -85,7 +85,7 @@
     except exceptions.BadRequest:
         return
     assert parsed.max_tokens >= 1
-    segments.cut_body(parsed.body, 100)
+    prompt_chunks.cut_body(parsed.body, 100)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -9,7 +9,7 @@
 from rackpost.coordinator import process
 from rackpost.decide import endpoint_load
 from rackpost.decide import kv_forecast
-from rackpost.gateway import load_share
+from rackpost.gateway import load_exchange
 from rackpost.link import channel
 from rackpost.link import codec
 from rackpost.testing import virtual
@@ -128,5 +128,5 @@
     In a crowd of 30 generations a second two gateways then gave the same
     room away, and runs were preempted.
     """
-    assert load_share.gather_s(68) < 0.02
-    assert load_share.gather_s(370) < 0.05
+    assert load_exchange.gather_s(68) < 0.02
+    assert load_exchange.gather_s(370) < 0.05
--- a/tests/test_relays.py
+++ b/tests/test_notice_relays.py
@@ -3,7 +3,7 @@
 import pytest
 
 from rackpost.coordinator import messages
-from rackpost.decide import relays
+from rackpost.decide import notice_relays
 from rackpost.link import codec
 from rackpost.routing import digests
 from rackpost import types
@@ -16,7 +16,7 @@
 def telling(count: int, subject: str) -> int:
     """How many of some gateways tell a subject's news on."""
     known = vms(count)
-    return sum(relays.is_relay(vm, known, subject) for vm in known)
+    return sum(notice_relays.is_relay(vm, known, subject) for vm in known)
 
 
 @pytest.mark.parametrize("count", [1, 2, 4])
@@ -35,15 +35,15 @@
 def test_endpoints_are_spread_over_the_gateways() -> None:
     known = vms(103)
     told = [
-        sum(relays.is_relay(vm, known, f"i-{at}") for at in range(1000))
+        sum(notice_relays.is_relay(vm, known, f"i-{at}") for at in range(1000))
         for vm in known
     ]
     assert max(told) < 90
 
 
 def test_a_gateway_that_knows_nobody_tells() -> None:
-    assert relays.is_relay(types.VmId("a"), [], "i-1")
-    assert relays.is_relay(types.VmId("a"), [types.VmId("b")], "i-1")
+    assert notice_relays.is_relay(types.VmId("a"), [], "i-1")
+    assert notice_relays.is_relay(types.VmId("a"), [types.VmId("b")], "i-1")
 
 
 def test_what_goes_to_many_is_encoded_once(
--- a/tests/test_opening.py
+++ b/tests/test_plain_queue.py
@@ -11,19 +11,19 @@
 import pytest
 
 from rackpost.decide import backoff
-from rackpost.decide import opening
-from rackpost.decide import rates
-from rackpost.gateway import place as place_mod
+from rackpost.decide import endpoint_rates
+from rackpost.decide import plain_queue
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.testing import virtual
-from tests import test_room
+from tests import test_admission_queue
 
-LATE = opening.Rank(priority=3, until=1.0)
-URGENT = opening.Rank(priority=1, until=2.0)
-MORE_URGENT = opening.Rank(priority=1, until=1.0)
+LATE = plain_queue.Rank(priority=3, until=1.0)
+URGENT = plain_queue.Rank(priority=1, until=2.0)
+MORE_URGENT = plain_queue.Rank(priority=1, until=1.0)
 
 
 def wait_s(ahead: int, *, opens_s: float = 0.0, per_s: float | None) -> float:
-    return opening.wait_s(
+    return plain_queue.wait_s(
         ahead=ahead, count=2, answer_s=0.1, opens_s=opens_s, per_s=per_s
     )
 
@@ -44,7 +44,7 @@
 
 
 def test_the_most_urgent_looks_first() -> None:
-    line = opening.Line()
+    line = plain_queue.Line()
     with line.waiting(LATE) as late, line.waiting(URGENT) as urgent:
         assert line.ahead(LATE) == 1 and line.ahead(URGENT) == 0
         assert line.may_look(urgent.rank, 1.0)
@@ -59,7 +59,7 @@
 
 
 def test_who_is_refused_comes_back_in_the_order_of_refusal() -> None:
-    line = opening.Line()
+    line = plain_queue.Line()
     with line.waiting(URGENT):
         # After the one that waits.
         turns = [line.turn_s(1.0, 2.0, 10.0) for _ in range(3)]
@@ -67,15 +67,15 @@
     assert line.turn_s(0.0, 2.0, 100.0) == 0.0
 
 
-def _wanted(now: float, left_s: float) -> place_mod.Wanted:
-    found = test_room.wanted(now, left_s)
+def _wanted(now: float, left_s: float) -> reservation_mod.Wanted:
+    found = test_admission_queue.wanted(now, left_s)
     claim = msgspec.structs.replace(found.claim, start_by=now + left_s)
     return msgspec.structs.replace(found, claim=claim)
 
 
 async def _crowd(
-    group: test_room.Group, count: int, left_s: float
-) -> list[asyncio.Task[place_mod.Place | place_mod.Full]]:
+    group: test_admission_queue.Group, count: int, left_s: float
+) -> list[asyncio.Task[reservation_mod.Place | reservation_mod.Full]]:
     """Generations that come at one moment to one gateway."""
     now = asyncio.get_running_loop().time()
     gateway = group.gateways[0]
@@ -88,10 +88,10 @@
 
 
 def _refused(
-    tasks: list[asyncio.Task[place_mod.Place | place_mod.Full]],
-) -> list[place_mod.Full]:
+    tasks: list[asyncio.Task[reservation_mod.Place | reservation_mod.Full]],
+) -> list[reservation_mod.Full]:
     done = [task.result() for task in tasks if task.done()]
-    return [item for item in done if isinstance(item, place_mod.Full)]
+    return [item for item in done if isinstance(item, reservation_mod.Full)]
 
 
 def test_of_a_crowd_at_a_rate_those_past_their_time_are_told_at_once() -> None:
@@ -101,12 +101,12 @@
     """
 
     async def main() -> None:
-        group = test_room.Group(count=1)
+        group = test_admission_queue.Group(count=1)
         gateway = group.gateways[0]
         for number in range(2):
             gateway.add_endpoint(number)
             key = f"d{number}"
-            named = rates.Named(per_s=2.0)
+            named = endpoint_rates.Named(per_s=2.0)
             gateway.eligible.rates.answered(
                 gateway.table.alive[key], named, 0.0
             )
@@ -127,7 +127,7 @@
     """Two endpoints of six slots open in time for those to begin."""
 
     async def main() -> None:
-        group = test_room.Group(count=1)
+        group = test_admission_queue.Group(count=1)
         gateway = group.gateways[0]
         for number in range(2):
             gateway.add_endpoint(number)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,7 +10,7 @@
 
 from rackpost.coordinator import messages
 from rackpost import exceptions
-from rackpost.gateway import load_share
+from rackpost.gateway import load_exchange
 from rackpost.gateway import policy
 from rackpost.gateway import site as site_mod
 from rackpost import types
@@ -63,7 +63,7 @@
         )
         other = messages.GatewayAddress(vm=types.VmId("g2"), loads="h:1")
         site.set_gateways([other])
-        telling = load_share.LoadShare(site=site)
+        telling = load_exchange.LoadShare(site=site)
         found = Sent()
         telling._transport = found  # type: ignore[assignment]
         telling._send()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -13,7 +13,7 @@
 
 from rackpost.coordinator import messages
 from rackpost.decide import quarantine
-from rackpost.gateway import suspects as suspects_mod
+from rackpost.gateway import crash_tracker as crash_tracker_mod
 from rackpost.link import codec
 from rackpost.routing import endpoints
 from rackpost import types
@@ -146,7 +146,7 @@
     def __init__(self) -> None:
         self.table = endpoints.EndpointTable()
         self.told: list[quarantine.Suspicion] = []
-        self.suspects = suspects_mod.Suspects(table=self.table)
+        self.suspects = crash_tracker_mod.Suspects(table=self.table)
         self.suspects.tell = self.told.extend
 
     def hear(self, number: int, now: float, **more: object) -> None:
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -10,9 +10,9 @@
 
 import pytest
 
+from rackpost.decide import endpoint_rates
 from rackpost.decide import rate_gate
 from rackpost.decide import rate_grants
-from rackpost.decide import rates
 from rackpost.routing import endpoints
 from rackpost.testing import rate_world
 from rackpost import types
@@ -157,10 +157,10 @@
     """What one gateway knows of an endpoint that names a rate."""
 
     def __init__(self, per_s: float = 2.0) -> None:
-        self.book = rates.RateBook()
+        self.book = endpoint_rates.RateBook()
         self.gate = rate_gate.RateGate(book=self.book)
         self.one = test_eligibility.endpoint("a", born=1)
-        self.book.answered(self.one, rates.Named(per_s=per_s), 0.0)
+        self.book.answered(self.one, endpoint_rates.Named(per_s=per_s), 0.0)
 
     def opens(self, now: float) -> bool:
         return self.gate.may_begin(self.one, now)
@@ -200,14 +200,16 @@
     gate = Gate()
     gate.gate.unanswered(gate.one, 1.0)
     for _ in range(3):
-        gate.book.answered(gate.one, rates.Named(), 1.1)
+        gate.book.answered(gate.one, endpoint_rates.Named(), 1.1)
     assert gate.opens(1.1)
     assert gate.gate.own_per_s(gate.one) is None
 
 
 def test_the_rest_of_a_service_is_chosen_from() -> None:
     known = test_eligibility.Known()
-    known.eligible.rates.answered(known.one, rates.Named(per_s=2.0), 1.0)
+    known.eligible.rates.answered(
+        known.one, endpoint_rates.Named(per_s=2.0), 1.0
+    )
     known.eligible.chose(known.one, 1.0)
     assert known.chosen(1.05) == {"b"}
     # A rate is no bar: a request that has its grant is sent.
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -9,8 +9,8 @@
 from typing import Callable
 
 from rackpost.coordinator import process as coordinator_process
-from rackpost.decide import pace
 from rackpost.decide import role_balance
+from rackpost.decide import token_timing
 from rackpost.http1 import message
 from rackpost.http1 import server
 from rackpost.state import commands
@@ -86,8 +86,8 @@
                         assert back is not types.Role.PREFILL
 
 
-def known_pace(*, token_s: float, made_s: float) -> pace.Pace:
-    found = pace.Pace()
+def known_pace(*, token_s: float, made_s: float) -> token_timing.Pace:
+    found = token_timing.Pace()
     found.took(1000, 1000 * token_s)
     found.made(1000, 1000 * made_s)
     return found
@@ -108,11 +108,11 @@
     meter = role_balance.DemandMeter(began=0.0)
     known = known_pace(token_s=0.001, made_s=0.01)
     # Nobody has asked for anything: that is known.
-    assert meter.rate(SERVICE, 1.0, pace.Pace()).is_known
+    assert meter.rate(SERVICE, 1.0, token_timing.Pace()).is_known
     for at in (0.5, 1.0, 1.5, 2.0):
         meter.add(at, prompt=600, out=1200, share=0.5)
     assert not meter.rate(SERVICE, 2.0, known).is_known
-    assert not meter.rate(SERVICE, 4.0, pace.Pace()).is_known
+    assert not meter.rate(SERVICE, 4.0, token_timing.Pace()).is_known
     # What was asked before the pace was known counts at that pace, and
     # over the time that was counted.
     found = meter.rate(SERVICE, 4.0, known)
@@ -137,7 +137,7 @@
 
 
 def test_the_pace_is_known_before_a_first_stream_has_ended() -> None:
-    new = pace.Pace()
+    new = token_timing.Pace()
     new.took(1000, 0.03)
     assert not new.is_known
     new.making(36, 0.2)
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -7,10 +7,10 @@
 
 from rackpost.coordinator import messages
 from rackpost.decide import endpoint_load
-from rackpost.decide import waiting
-from rackpost.gateway import load_share
+from rackpost.decide import queue_order
+from rackpost.gateway import admission_queue
+from rackpost.gateway import load_exchange
 from rackpost.gateway import planned_stop
-from rackpost.gateway import room
 from rackpost.gateway import site as site_mod
 from rackpost.http1 import message
 from rackpost.http1 import server
@@ -162,7 +162,7 @@
             own = site.gateway.site
             own.pace.made(10, 10.0)
             own.planned_stop.begin(own.loop_time() + 5.0)
-            await asyncio.sleep(room._TRY_S + 0.1)
+            await asyncio.sleep(admission_queue._TRY_S + 0.1)
             got = await site.raw(hinted(8))
             assert test_gateway.status(got) == 503
             assert not site.prefill.seen
@@ -295,15 +295,15 @@
             life=1,
             number=1,
             uses={},
-            first=(waiting.Left(priority=0, slack_s=0.1, start_s=3.0),),
+            first=(queue_order.Left(priority=0, slack_s=0.1, start_s=3.0),),
             refused=(11,),
             broken=(types.EndpointId("a"),),
             full=(types.EndpointId("b"),),
         )
-        share = load_share.LoadShare(site=site)
+        share = load_exchange.LoadShare(site=site)
         share.datagram_received(codec.encode(told), None)
         now = site.loop_time()
-        later = waiting.Left(priority=0, slack_s=2.0, start_s=5.0)
+        later = queue_order.Left(priority=0, slack_s=2.0, start_s=5.0)
         assert site.loads.ahead(later, site.host.vm, now) == 1
         assert site.refused.came_back(11, now)
         assert site.health.avoided(types.EndpointId("a"), now)
--- a/tests/test_pace.py
+++ b/tests/test_token_timing.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from rackpost.decide import pace as pace_mod
-from rackpost.gateway import place as place_mod
+from rackpost.decide import token_timing as token_timing_mod
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.testing import virtual
-from tests import test_room
+from tests import test_admission_queue
 
 # A usual reading, and the same with the gateway suspended in between.
 _TOKENS = 5000
@@ -25,7 +25,7 @@
 
 
 def test_a_reading_that_was_held_up_does_not_stay_the_pace() -> None:
-    pace = pace_mod.Pace()
+    pace = token_timing_mod.Pace()
     pace.took(_TOKENS, _HELD_UP_S)
     for _ in range(3):
         pace.took(_TOKENS, _USUAL_S)
@@ -33,7 +33,7 @@
 
 
 def test_neither_does_a_stream() -> None:
-    pace = pace_mod.Pace()
+    pace = token_timing_mod.Pace()
     pace.made(1000, _HELD_UP_S)
     for _ in range(3):
         pace.made(1000, _USUAL_S)
@@ -42,16 +42,16 @@
 
 
 def test_one_slow_reading_changes_a_known_pace_by_little() -> None:
-    pace = pace_mod.Pace()
+    pace = token_timing_mod.Pace()
     for _ in range(20):
         pace.took(_TOKENS, _USUAL_S)
     pace.took(_TOKENS, _HELD_UP_S)
     assert pace.expected_s(_TOKENS) < 2.5 * _USUAL_S
 
 
-def _wanted(now: float) -> place_mod.Wanted:
+def _wanted(now: float) -> reservation_mod.Wanted:
     """A generation whose caller leaves after a second without an event."""
-    found = test_room.wanted(now, 0.5)
+    found = test_admission_queue.wanted(now, 0.5)
     claim = msgspec.structs.replace(
         found.claim, start_by=now + 1.0, start_s=_HELD_UP_S
     )
@@ -63,7 +63,7 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        group = test_room.Group(count=1)
+        group = test_admission_queue.Group(count=1)
         gateway = group.gateways[0]
         gateway.add_endpoint(0)
         await asyncio.sleep(2.0)
@@ -71,7 +71,7 @@
         for _ in range(60):
             await asyncio.sleep(0.1)
             place = await group.generate(gateway, _wanted(loop.time()))
-            if isinstance(place, place_mod.Place):
+            if isinstance(place, reservation_mod.Place):
                 place.release()
                 placed += 1
         # One at a time, some each few seconds, until the pace is known.
