--- a/rackpost/coordinator/role_orders.py
+++ b/rackpost/coordinator/role_orders.py
@@ -130,7 +130,7 @@
         return Given.REFUSED
 
     def _note(self, endpoint: endpoints.Endpoint, head: message.Head) -> None:
-        endpoint_notices.note(
+        endpoint_notices.record_answer(
             self._eligible,
             endpoint,
             head,
@@ -157,7 +157,7 @@
                 async with self._pool.connection(
                     endpoint.address, most=_CONNECTIONS, fresh=True
                 ) as conn:
-                    endpoint_notices.check(
+                    endpoint_notices.check_eligible(
                         self._eligible, endpoint, self._loop.time()
                     )
                     head = await conn.request(
--- a/rackpost/endpoint_notices.py
+++ b/rackpost/endpoint_notices.py
@@ -15,7 +15,7 @@
 from rackpost import types
 
 
-def check(
+def check_eligible(
     eligible: eligibility.Eligibility,
     endpoint: endpoints.Endpoint,
     now: float,
@@ -26,21 +26,21 @@
         raise exceptions.Barred(bar.value)
 
 
-def note(
+def record_answer(
     eligible: eligibility.Eligibility,
-    asked: endpoints.Endpoint,
+    requested: endpoints.Endpoint,
     head: message.Head,
     *,
     part: logs.Part,
     now: float,
 ) -> frozenset[eligibility.Bar]:
-    """Note what an answer to a request for `asked` says; what is news."""
+    """Note what an answer to a request for `requested` says; what is news."""
     said = eligibility.Said(
         backoff_s=headers.backoff_s(head),
         leaving=headers.says_leaving(head),
         turned_away=headers.is_turned_away(head),
     )
-    endpoint = eligible.who_answered(asked, _answered_by(head))
+    endpoint = eligible.who_answered(requested, _answered_by(head))
     if endpoint is None:
         return frozenset()
     _note_rate(eligible.rates, endpoint, head, part=part, now=now)
--- a/rackpost/gateway/admission_queue.py
+++ b/rackpost/gateway/admission_queue.py
@@ -44,9 +44,9 @@
 _TRY_S = 1.0
 
 
-def _usable(wanted: reservation_mod.Wanted) -> int:
+def _usable(wanted: reservation_mod.ReservationRequest) -> int:
     """The part of an endpoint's memory that is given away, in tokens."""
-    return int(wanted.capacity * _FILL)
+    return int(wanted.memory_tokens * _FILL)
 
 
 def _nothing() -> None:
@@ -63,14 +63,14 @@
 class _Waiter:
     """A generation that waits."""
 
-    def __init__(self, *, wanted: reservation_mod.Wanted) -> None:
+    def __init__(self, *, wanted: reservation_mod.ReservationRequest) -> None:
         self.wanted = wanted
         self.found: asyncio.Future[
-            reservation_mod.Place | reservation_mod.Full
+            reservation_mod.DecodeReservation | reservation_mod.NoCapacity
         ] = asyncio.get_running_loop().create_future()
 
 
-class Room:
+class AdmissionQueue:
     """Gives places away: who can still be in time goes first."""
 
     def __init__(
@@ -81,13 +81,13 @@
         pace: token_timing_mod.Pace,
         rng: random.Random,
         vm: types.VmId,
-        changed: asyncio.Event,
-        waiters_changed: Callable[[], None],
+        capacity_changed: asyncio.Event,
+        on_waiters_changed: Callable[[], None],
         split: bool = True,
     ) -> None:
-        """`changed` is set when there may be more room.
+        """`capacity_changed` is set when there may be more room.
 
-        `waiters_changed` is called when others should know who waits.
+        `on_waiters_changed` is called when others should know who waits.
         Without `split` all prompts are read in place.
         """
         self._loop = asyncio.get_running_loop()
@@ -96,14 +96,14 @@
         self._pace = pace
         self._rng = rng
         self._vm = vm
-        self._waiters_changed = waiters_changed
+        self._waiters_changed = on_waiters_changed
         self._split = split
-        self._changed = changed
+        self._changed = capacity_changed
         self._waiters: list[_Waiter] = []
         # When a place was last given, by the loop's clock.
         self._begun_at = self._loop.time()
 
-    def first(self, now: float) -> tuple[queue_order.Left, ...]:
+    def most_urgent_waiters(self, now: float) -> tuple[queue_order.Left, ...]:
         """Those that wait here and go first."""
         found = [
             queue_order.left(waiter.wanted.claim, now)
@@ -113,9 +113,9 @@
         found.sort(key=lambda item: item.rank(0.0))
         return tuple(found[:_MOST_TOLD])
 
-    async def wait(
-        self, wanted: reservation_mod.Wanted
-    ) -> reservation_mod.Place | reservation_mod.Full:
+    async def reserve(
+        self, wanted: reservation_mod.ReservationRequest
+    ) -> reservation_mod.DecodeReservation | reservation_mod.NoCapacity:
         """A place, which the caller must release, or word to come back."""
         now = self._loop.time()
         waiter = _Waiter(wanted=wanted)
@@ -137,9 +137,11 @@
                 self._waiters.remove(waiter)
                 self._waiters_changed()
 
-    def again(
-        self, wanted: reservation_mod.Wanted, endpoint: endpoints.Endpoint
-    ) -> reservation_mod.Place | None:
+    def reserve_at(
+        self,
+        wanted: reservation_mod.ReservationRequest,
+        endpoint: endpoints.Endpoint,
+    ) -> reservation_mod.DecodeReservation | None:
         """The place that a request had just now, if it is still there.
 
         Nobody takes it in between, and where the endpoint has kept the KV
@@ -148,13 +150,13 @@
         now = self._loop.time()
         if not self._chooser.candidates.still_takes(endpoint, now):
             return None
-        return reservation_mod.Place(
+        return reservation_mod.DecodeReservation(
             endpoint=endpoint,
-            reader=None,
+            prefill_endpoint=None,
             free=self._loads.hold(endpoint.id, run=wanted.run),
             end_turn=_nothing,
             changed=self._changed.set,
-            since=now,
+            reserved_at=now,
         )
 
     def _refuse_if_hopeless(self, waiter: _Waiter, now: float) -> None:
@@ -164,15 +166,17 @@
         if hopeless or len(self._waiters) > _MOST:
             self._settle(waiter, self._full(waiter.wanted, now))
 
-    def _opens_s(self, wanted: reservation_mod.Wanted, now: float) -> float:
+    def _opens_s(
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> float:
         """How long all decode endpoints still want nothing, in seconds."""
         opens_s = self._chooser.candidates.opens_s(
-            wanted.service, types.Role.DECODE, but=wanted.but, now=now
+            wanted.service, types.Role.DECODE, but=wanted.exclude, now=now
         )
         return opens_s or 0.0
 
     def _expected_wait_s(
-        self, wanted: reservation_mod.Wanted, now: float
+        self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> float:
         """How long until it is its turn, in seconds."""
         mine = queue_order.order(wanted.claim, now)
@@ -191,7 +195,10 @@
         return opening_s + self._queue_s(wanted, ahead, now)
 
     def _opening_s(
-        self, wanted: reservation_mod.Wanted, ahead: int, now: float
+        self,
+        wanted: reservation_mod.ReservationRequest,
+        ahead: int,
+        now: float,
     ) -> float:
         """How long back-offs and rates hold it up, in seconds.
 
@@ -200,7 +207,9 @@
         opens_s = self._opens_s(wanted, now)
         found = self._chooser.candidates
         role = types.Role.DECODE
-        per_s = found.own_per_s(wanted.service, role, but=wanted.but, now=now)
+        per_s = found.own_per_s(
+            wanted.service, role, but=wanted.exclude, now=now
+        )
         if opens_s <= 0.0 and per_s is None:
             return 0.0
         return plain_queue.wait_s(
@@ -212,7 +221,10 @@
         )
 
     def _queue_s(
-        self, wanted: reservation_mod.Wanted, ahead: int, now: float
+        self,
+        wanted: reservation_mod.ReservationRequest,
+        ahead: int,
+        now: float,
     ) -> float:
         """How long those that go before it will take, in seconds."""
         left = queue_order.left(wanted.claim, now)
@@ -223,19 +235,21 @@
         )
 
     def _full(
-        self, wanted: reservation_mod.Wanted, now: float
-    ) -> reservation_mod.Full:
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> reservation_mod.NoCapacity:
         wait_s = self._expected_wait_s(wanted, now)
         chance = self._rng.random()
         after = queue_order.come_back_s(wanted.claim, wait_s, now, chance)
         # Nobody is told to come back before anything may be sent.
         after = max(after, self._opens_s(wanted, now))
-        return reservation_mod.Full(come_back_s=after, expected_wait_s=wait_s)
+        return reservation_mod.NoCapacity(
+            retry_after_s=after, expected_wait_s=wait_s
+        )
 
     def _give_back(self, waiter: _Waiter) -> None:
         if waiter.found.done() and not waiter.found.cancelled():
             place = waiter.found.result()
-            if isinstance(place, reservation_mod.Place):
+            if isinstance(place, reservation_mod.DecodeReservation):
                 place.release()
 
     def _give(self) -> None:
@@ -275,8 +289,8 @@
                 ahead += 1
 
     def _try(
-        self, wanted: reservation_mod.Wanted, now: float
-    ) -> reservation_mod.Place | None:
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> reservation_mod.DecodeReservation | None:
         """A place for one that looks hopeless, now and then.
 
         Only for one that would be in time if the figures were wrong, and
@@ -291,7 +305,7 @@
         return way and self._place(wanted, way, now)
 
     def _is_next(
-        self, wanted: reservation_mod.Wanted, way: _Way, now: float
+        self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
     ) -> bool:
         """Whether no more go before it elsewhere than there are places."""
         left = queue_order.left(wanted.claim, now)
@@ -314,14 +328,14 @@
         return ahead < places
 
     def _prefill_places(
-        self, wanted: reservation_mod.Wanted, now: float
+        self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> int:
         return self._chooser.prefill_places(
             wanted.service, self._pace.tokens_in(_QUEUE_S), now
         )
 
     def _in_place(
-        self, wanted: reservation_mod.Wanted, now: float
+        self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> endpoint_choice.InPlace | None:
         """How the decode endpoint reads the prompt, if it is to."""
         read_apart = self._split and not wanted.in_place
@@ -329,9 +343,11 @@
             wanted.service, now
         ):
             return None
-        return endpoint_choice.InPlace(rest_s=wanted.event_s)
+        return endpoint_choice.InPlace(rest_s=wanted.event_interval_s)
 
-    def _way(self, wanted: reservation_mod.Wanted, now: float) -> _Way | None:
+    def _way(
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> _Way | None:
         """How its prompt would be read now; None if it can't be."""
         in_place = self._in_place(wanted, now)
         if in_place is not None:
@@ -340,14 +356,14 @@
         return None if reader is None else _Way(reader, None)
 
     def _place(
-        self, wanted: reservation_mod.Wanted, way: _Way, now: float
-    ) -> reservation_mod.Place | None:
+        self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
+    ) -> reservation_mod.DecodeReservation | None:
         endpoint = self._chooser.decode(
             wanted.service,
             wanted.run,
             _usable(wanted),
             in_place=way.in_place,
-            but=wanted.but,
+            but=wanted.exclude,
             now=now,
         )
         if endpoint is None:
@@ -360,17 +376,17 @@
         else:
             self._chooser.candidates.chose(way.reader, now)
             end_turn = self._loads.hold(way.reader.id, prompt=wanted.run.size)
-        return reservation_mod.Place(
+        return reservation_mod.DecodeReservation(
             endpoint=endpoint,
-            reader=way.reader,
+            prefill_endpoint=way.reader,
             free=free,
             end_turn=end_turn,
             changed=self._changed.set,
-            since=now,
+            reserved_at=now,
         )
 
     def _reader(
-        self, wanted: reservation_mod.Wanted, now: float
+        self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> endpoints.Endpoint | None:
         """A prefill endpoint that reads the prompt without much delay."""
         return self._chooser.prefill(
@@ -395,7 +411,7 @@
     def _settle(
         self,
         waiter: _Waiter,
-        place: reservation_mod.Place | reservation_mod.Full,
+        place: reservation_mod.DecodeReservation | reservation_mod.NoCapacity,
     ) -> None:
         self._waiters.remove(waiter)
         waiter.found.set_result(place)
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -67,7 +67,7 @@
         now=site.loop_time(),
     )
     # Where one takes what comes, it goes there rather than wait here.
-    return site.grants.granted(
+    return site.grants.acquire(
         endpoint, priority=call.priority, waits=per_s is not None
     )
 
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -116,7 +116,7 @@
         """A connection broke on which an endpoint had it since `began`."""
         now = self.site.loop_time()
         self.broke = True
-        self.site.suspects.ended(
+        self.site.suspects.record_broken(
             self.fingerprint, endpoint, ran_s=now - began, now=now
         )
 
@@ -204,7 +204,9 @@
         if not suspects.book.holds_any():
             # As a rule: no request is digested before it is sent.
             return 0.0
-        return suspects.left_s(self.fingerprint, self.site.loop_time())
+        return suspects.quarantine_left_s(
+            self.fingerprint, self.site.loop_time()
+        )
 
     def _end_if_held(self) -> bool:
         """End it if it is held back, as endpoints ended under it.
@@ -276,7 +278,7 @@
         that run it; an answer without a length ends as its endpoint does.
         """
         if not self.broke and head.framing is not message.Framing.CLOSE:
-            self.site.suspects.served(self.fingerprint, now)
+            self.site.suspects.record_served(self.fingerprint, now)
 
     def _is_late(self, took_s: float) -> bool:
         """Whether an answer, or an event of it, came after its target."""
--- a/rackpost/gateway/control_links.py
+++ b/rackpost/gateway/control_links.py
@@ -48,7 +48,7 @@
         self._updates = routing_updates.RoutingUpdates(site=site)
         # Links on which a coordinator has said what it holds.
         self._linked: set[websocket.WebSocketChannel] = set()
-        site.suspects.tell = self._tell_suspicions
+        site.suspects.publish = self._tell_suspicions
         self.reload(self._host)
 
     def reload(self, host: settings.HostSettings) -> None:
@@ -144,7 +144,7 @@
         elif isinstance(msg, messages.Silent):
             self._on_silent(conn, msg)
         elif isinstance(msg, messages.Suspicions):
-            self._site.suspects.take(msg.items, self._loop.time())
+            self._site.suspects.receive(msg.items, self._loop.time())
         elif isinstance(msg, messages.Changing):
             self._on_changing(host, msg)
         elif isinstance(msg, messages.Peers):
--- a/rackpost/gateway/crash_tracker.py
+++ b/rackpost/gateway/crash_tracker.py
@@ -50,18 +50,18 @@
     heard_at: float | None = None
 
 
-class Suspects:
+class CrashTracker:
     """The book of one gateway, and what it adds to it."""
 
     def __init__(self, *, table: endpoints.EndpointTable) -> None:
         self.book = quarantine.Quarantine()
         # Tells the coordinators; set by who is linked to them.
-        self.tell: Tell = _nobody
+        self.publish: Tell = _nobody
         self._table = table
         self._watched: list[_Watched] = []
         self._served: dict[types.Fingerprint, float] = {}
 
-    def ended(
+    def record_broken(
         self,
         request: types.Fingerprint,
         endpoint: endpoints.Endpoint,
@@ -87,7 +87,7 @@
         del self._watched[:-_MOST_WATCHED]
         self._add((found,), now)
 
-    def served(self, request: types.Fingerprint, now: float) -> None:
+    def record_served(self, request: types.Fingerprint, now: float) -> None:
         """A request was answered in full, so that it ends no endpoint."""
         self._served.pop(request, None)
         self._served[request] = now
@@ -95,7 +95,9 @@
             del self._served[next(iter(self._served))]
         self._clear(self.book.cleared(request), _IN_FULL, now)
 
-    def take(self, items: Iterable[quarantine.Suspicion], now: float) -> None:
+    def receive(
+        self, items: Iterable[quarantine.Suspicion], now: float
+    ) -> None:
         """A coordinator tells what counts against some requests."""
         for request in self.book.take(items, now):
             served_at = self._served.get(request)
@@ -104,11 +106,13 @@
             elif self.book.is_held(request, now):
                 self._log_held(request, now)
 
-    def left_s(self, request: types.Fingerprint, now: float) -> float:
+    def quarantine_left_s(
+        self, request: types.Fingerprint, now: float
+    ) -> float:
         """How much longer a request is held back, in seconds; 0 if not."""
         return self.book.left_s(request, now)
 
-    def look(self, now: float) -> None:
+    def recheck(self, now: float) -> None:
         """Clear what endpoints have shown that are alive; about each second.
 
         Their heartbeats go on, in the same life, after their connection
@@ -159,7 +163,7 @@
         for request in self.book.take(items, now):
             if self.book.is_held(request, now):
                 self._log_held(request, now)
-        self.tell(items)
+        self.publish(items)
 
     def _log_held(self, request: types.Fingerprint, now: float) -> None:
         logs.say(
--- a/rackpost/gateway/document_fetch.py
+++ b/rackpost/gateway/document_fetch.py
@@ -28,12 +28,12 @@
 _REST_S = 1.0
 
 
-class Ask(NamedTuple, Generic[H]):
-    """What to send to whom; `again` if the last one asked was silent."""
+class FetchRequest(NamedTuple, Generic[H]):
+    """What to send to whom; `is_retry` if the last one asked was silent."""
 
-    holder: H
+    peer: H
     msg: messages.Fetch
-    again: bool
+    is_retry: bool
 
 
 class _Asked(NamedTuple, Generic[H]):
@@ -54,7 +54,7 @@
         self.data = bytearray()
 
 
-class Arrived(NamedTuple):
+class Transfer(NamedTuple):
     """A transfer that is whole, and how long it took in seconds."""
 
     data: bytes
@@ -87,17 +87,17 @@
             return self._asked.until
         return self._rest_until
 
-    def told(self, holder: H, version: int) -> None:
+    def record_version(self, holder: H, version: int) -> None:
         """A holder has this version."""
         self._holders[holder] = version
 
-    def lost(self, holder: H) -> None:
+    def remove_peer(self, holder: H) -> None:
         """A holder is linked no more."""
         self._holders.pop(holder, None)
         if self._asked is not None and self._asked.holder == holder:
             self._asked = None
 
-    def next_ask(self, *, have: int, now: float) -> Ask[H] | None:
+    def next_request(self, *, have: int, now: float) -> FetchRequest[H] | None:
         """What to ask now by a gateway that has the version `have`."""
         if self.newest <= have:
             self._asked = None
@@ -117,7 +117,7 @@
         holder = self._choose(silent)
         self._asked = _Asked(holder, now, now + self._patience_s)
         self._last = holder
-        return Ask(holder, self._fetch(have), silent is not None)
+        return FetchRequest(holder, self._fetch(have), silent is not None)
 
     def _choose(self, silent: H | None) -> H:
         """Who is asked: the last one again, unless it was silent.
@@ -143,9 +143,9 @@
             offset=len(self._partial.data),
         )
 
-    def take(
+    def receive(
         self, holder: H, part: messages.RoutingPart, now: float
-    ) -> Arrived | None:
+    ) -> Transfer | None:
         """Take a part; the whole once all of it is there.
 
         A part that is not the next one came twice, and is dropped.
@@ -162,9 +162,9 @@
         if len(partial.data) < partial.size:
             return None
         self._partial = None
-        return Arrived(bytes(partial.data), now - partial.began)
+        return Transfer(bytes(partial.data), now - partial.began)
 
-    def failed(self, *, have: int, now: float) -> None:
+    def reject_document(self, *, have: int, now: float) -> None:
         """What came was of no use to a gateway that has `have`."""
         self._spoilt = have
         self._rest_until = now + _REST_S
--- a/rackpost/gateway/endpoint_calls.py
+++ b/rackpost/gateway/endpoint_calls.py
@@ -38,7 +38,7 @@
 
 def check(site: site_mod.Site, endpoint: endpoints.Endpoint) -> None:
     """Raise Barred if nothing may be sent to an endpoint now."""
-    endpoint_notices.check(site.eligible, endpoint, site.loop_time())
+    endpoint_notices.check_eligible(site.eligible, endpoint, site.loop_time())
 
 
 async def request(
@@ -62,7 +62,7 @@
     found = await conn.request(
         head=head, body=body, request_id=request_id, is_head=is_head
     )
-    news = endpoint_notices.note(
+    news = endpoint_notices.record_answer(
         site.eligible,
         endpoint,
         found,
--- a/rackpost/gateway/generate.py
+++ b/rackpost/gateway/generate.py
@@ -73,10 +73,10 @@
         self._note_demand()
         while True:
             self._progress = self._new_progress()
-            place = self._kept_place() or await call.site.room.wait(
+            place = self._kept_place() or await call.site.room.reserve(
                 self._wanted()
             )
-            if isinstance(place, reservation_mod.Full):
+            if isinstance(place, reservation_mod.NoCapacity):
                 self._refuse_full(place)
                 return
             if call.end_if_barred():
@@ -93,7 +93,7 @@
             if ended is retry_decision.Ended.BROKEN:
                 self._broke_at = place.endpoint
 
-    def _kept_place(self) -> reservation_mod.Place | None:
+    def _kept_place(self) -> reservation_mod.DecodeReservation | None:
         """The place of a run whose connection broke, if it may be kept.
 
         An endpoint that is well still has the KV cache: going on there
@@ -103,12 +103,14 @@
         if endpoint is None or self._kept_tries >= _KEPT_TRIES:
             return None
         self._kept_tries += 1
-        place = self._call.site.room.again(self._wanted(), endpoint)
+        place = self._call.site.room.reserve_at(self._wanted(), endpoint)
         if place is not None:
             self._call.log("Goes on where it broke.", endpoint=endpoint.id)
         return place
 
-    def _on_event(self, place: reservation_mod.Place) -> Callable[[], None]:
+    def _on_event(
+        self, place: reservation_mod.DecodeReservation
+    ) -> Callable[[], None]:
         progress = self._progress
         site = self._call.site
         began = 0.0
@@ -118,18 +120,20 @@
             if progress.made == 0:
                 began = site.loop_time()
                 self._note_start(place)
-            place.was_read()
+            place.record_prefilled()
             if progress.made == _EVENTS_SEEN * self._engine.event_tokens:
                 site.pace.making(progress.made, site.loop_time() - began)
             progress.event()
 
         return on_event
 
-    def _note_start(self, place: reservation_mod.Place) -> None:
+    def _note_start(self, place: reservation_mod.DecodeReservation) -> None:
         """The first event has come; learn from how long it took."""
-        if place.reader is not None:
+        if place.prefill_endpoint is not None:
             site = self._call.site
-            site.pace.started(self._prompt, site.loop_time() - place.since)
+            site.pace.started(
+                self._prompt, site.loop_time() - place.reserved_at
+            )
 
     def _note_demand(self) -> None:
         """Count what this request asks of each role of endpoint."""
@@ -145,14 +149,16 @@
             self._call.began, prompt=self._prompt, out=out, share=share
         )
 
-    def _wanted(self) -> reservation_mod.Wanted:
+    def _wanted(self) -> reservation_mod.ReservationRequest:
         call = self._call
-        return reservation_mod.Wanted(
+        return reservation_mod.ReservationRequest(
             service=call.service.name,
-            capacity=self._engine.memory_tokens,
+            memory_tokens=self._engine.memory_tokens,
             run=self._progress.run,
-            but=call.not_again,
-            event_s=call.site.pace.making_s(self._engine.event_tokens),
+            exclude=call.not_again,
+            event_interval_s=call.site.pace.making_s(
+                self._engine.event_tokens
+            ),
             in_place=self._in_place,
             claim=self._claim(),
         )
@@ -191,7 +197,7 @@
         return min(call.until, leaves - _BEFORE_LEAVING_S)
 
     async def _run_at(
-        self, place: reservation_mod.Place
+        self, place: reservation_mod.DecodeReservation
     ) -> retry_decision.Ended | None:
         call = self._call
         decode = place.endpoint
@@ -225,26 +231,28 @@
         site.pace.made(made, took_s)
         site.lengths.ended(guess=self._guess, made=made)
 
-    async def _can_run(self, place: reservation_mod.Place) -> bool:
+    async def _can_run(self, place: reservation_mod.DecodeReservation) -> bool:
         """Whether the prompt is read, or it is its turn to be in place."""
         if self._read.is_fresh(self._engine):
             return True
         self._read.release()
-        if place.reader is None or self._prompt == 0:
+        if place.prefill_endpoint is None or self._prompt == 0:
             return True
         await self._prefill(place)
         # The prefill endpoint's turn has ended, however it went.
-        place.was_read()
+        place.record_prefilled()
         return self._read.is_fresh(self._engine)
 
-    async def _prefill(self, place: reservation_mod.Place) -> None:
+    async def _prefill(self, place: reservation_mod.DecodeReservation) -> None:
         call = self._call
         now = call.site.loop_time()
         first = not self._read.arrivals and not call.sent
         left = call.budget.left(now, call.site.gateway_count)
         # A second reading elsewhere is one more arrival than one in place.
         if first or left >= 2.0:
-            await prefill.prefill(call, place.reader, self._prompt, self._read)
+            await prefill.prefill(
+                call, place.prefill_endpoint, self._prompt, self._read
+            )
 
     def _would_be_cut(self) -> bool:
         """Whether a planned stop leaves too little time for the answer."""
@@ -252,7 +260,7 @@
         ends_at = self._call.site.planned_stop.ends_at
         return self._call.site.loop_time() + claim.run_s > ends_at
 
-    def _refuse_full(self, full: reservation_mod.Full) -> None:
+    def _refuse_full(self, full: reservation_mod.NoCapacity) -> None:
         call = self._call
         if self._would_be_cut() and not call.may_have_run:
             # Nothing is full: others take it at once, and as a new one.
@@ -270,7 +278,7 @@
             call.fail(call_mod.Reason.NO_ROOM, 502)
             return
         call.site.refused.add(self._key, call.site.loop_time())
-        call.refuse(call_mod.Reason.NO_ROOM, full.come_back_s)
+        call.refuse(call_mod.Reason.NO_ROOM, full.retry_after_s)
 
 
 async def generate(call: call_mod.Call, engine: model.Engine) -> None:
--- a/rackpost/gateway/load_exchange.py
+++ b/rackpost/gateway/load_exchange.py
@@ -33,12 +33,12 @@
 _DECODER = codec.Decoder(kinds=messages.BetweenGateways)
 
 
-def gather_s(gateways: int) -> float:
+def batching_delay_s(gateways: int) -> float:
     """How long changes are gathered before they are told, in seconds."""
     return _GATHER_S + _GATHER_EACH_S * gateways
 
 
-class LoadShare(asyncio.DatagramProtocol):
+class LoadExchange(asyncio.DatagramProtocol):
     """Tells own figures and takes those of others."""
 
     def __init__(self, *, site: site_mod.Site) -> None:
@@ -62,7 +62,7 @@
         if isinstance(msg, messages.Loads):
             self._take(msg, self._site.loop_time())
         else:
-            self._site.grants.take(msg, address.Address(*addr[:2]))
+            self._site.grants.receive(msg, address.Address(*addr[:2]))
 
     def _take(self, msg: messages.Loads, now: float) -> None:
         site = self._site
@@ -86,7 +86,7 @@
         for endpoint, left_s in msg.backoffs.items():
             site.health.told_backoff(endpoint, left_s, now)
         for told in msg.named_rates:
-            site.grants.told(told, now)
+            site.grants.receive_rate(told, now)
         site.room_changed.set()
 
     async def _tell(self) -> None:
@@ -95,7 +95,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_AGAIN_S):
                     await changed.wait()
-                await asyncio.sleep(gather_s(self._site.gateway_count))
+                await asyncio.sleep(batching_delay_s(self._site.gateway_count))
             changed.clear()
             self._send()
 
@@ -128,7 +128,7 @@
             uses=site.loads.own,
             broken=site.health.broken(now),
             full=site.health.full(now),
-            first=site.room.first(now),
+            first=site.room.most_urgent_waiters(now),
             refused=site.refused.recent(now),
             quotas=site.quotas.tell(now),
             backoffs=site.eligible.backoffs_left(now),
--- a/rackpost/gateway/prefill.py
+++ b/rackpost/gateway/prefill.py
@@ -87,7 +87,7 @@
         wire.release_path(result),
         [(b"host", reader.address.encode())],
     )
-    if call.site.grants.needs(reader):
+    if call.site.grants.requires_grant(reader):
         # What it takes is for prompts.
         call.log("KV cache not released.", why="names a rate")
         return
--- a/rackpost/gateway/process.py
+++ b/rackpost/gateway/process.py
@@ -87,14 +87,14 @@
             self.site.quotas.forget(self.site.loop_time())
             self.site.drop_gateways()
             self.site.grants.sweep()
-            self.site.suspects.look(self.site.loop_time())
+            self.site.suspects.recheck(self.site.loop_time())
             if self.site.routes is not None:
                 self._server.limits = self.site.routes.limits
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[None]:
         """Serve until the block ends."""
-        share = load_exchange.LoadShare(site=self.site)
+        share = load_exchange.LoadExchange(site=self.site)
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self._links.close)
             stack.callback(self.site.pool.close)
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -73,7 +73,7 @@
         return same and not self.is_spent and now < self._at + _FRESH_S
 
 
-class Grants:
+class RateGrants:
     """One gateway's grants, those it asks for and those it gives."""
 
     def __init__(
@@ -110,7 +110,7 @@
         self._eligible.forget_rates()
         self._book.forget(self._loop.time() - _KEEP_S)
 
-    def told(self, told: endpoint_rates.Told, now: float) -> None:
+    def receive_rate(self, told: endpoint_rates.Told, now: float) -> None:
         """Another gateway tells what an endpoint's answers named."""
         if not self._eligible.rates.told(told, now):
             return
@@ -123,7 +123,7 @@
             age_s=told.age_s,
         )
 
-    def needs(self, endpoint: endpoints.Endpoint) -> bool:
+    def requires_grant(self, endpoint: endpoints.Endpoint) -> bool:
         """Whether a request there needs a grant."""
         return self._eligible.rates.per_s(endpoint) is not None
 
@@ -132,14 +132,14 @@
 
         Where a rate was named since the grant was to be asked for, too.
         """
-        if not self.needs(endpoint):
+        if not self.requires_grant(endpoint):
             return
         if grant is None or not grant.is_for(endpoint, self._loop.time()):
             raise exceptions.Barred(eligibility.Bar.RATE.value)
         grant.is_spent = True
 
     @contextlib.asynccontextmanager
-    async def granted(
+    async def acquire(
         self, endpoint: endpoints.Endpoint, *, priority: int, waits: bool
     ) -> AsyncIterator[Grant | None]:
         """A grant to send one request, given back if it is not spent.
@@ -147,7 +147,7 @@
         None where none is needed; raises Barred where there is none.
         """
         grant = None
-        if self.needs(endpoint):
+        if self.requires_grant(endpoint):
             wish = rate_grants.Wish(
                 vm=self._vm, priority=priority, waits=waits
             )
@@ -219,7 +219,7 @@
             raise exceptions.Barred(eligibility.Bar.RATE.value) from exc
         finally:
             del self._asked[number]
-        self.told(found.rate, self._loop.time())
+        self.receive_rate(found.rate, self._loop.time())
         return found.verdict
 
     def _send_to(self, vm: types.VmId, msg: Message) -> None:
@@ -231,7 +231,7 @@
         """What is known here of a rate."""
         return self._eligible.rates.tell_one(key, self._loop.time())
 
-    def take(self, msg: Message, sender: address.Address) -> None:
+    def receive(self, msg: Message, sender: address.Address) -> None:
         """A message of another gateway."""
         if isinstance(msg, messages.AskGrant):
             self._answer(msg, sender)
@@ -243,7 +243,7 @@
 
     def _answer(self, msg: messages.AskGrant, sender: address.Address) -> None:
         now = self._loop.time()
-        self.told(msg.rate, now)
+        self.receive_rate(msg.rate, now)
         key = msg.rate.incarnation
         verdict = self._decide(key, msg.wish, now)
         answer = messages.GrantAnswer(
--- a/rackpost/gateway/routing_updates.py
+++ b/rackpost/gateway/routing_updates.py
@@ -40,28 +40,30 @@
     def told(self, conn: channel.Channel, host: str, version: int) -> None:
         """The coordinator at the end of a link holds this version."""
         self._hosts[conn] = host
-        self._fetch.told(conn, version)
+        self._fetch.record_version(conn, version)
         self._ask()
 
     def lost(self, conn: channel.Channel) -> None:
         """A link has ended."""
         self._hosts.pop(conn, None)
-        self._fetch.lost(conn)
+        self._fetch.remove_peer(conn)
         self._ask()
 
     def _ask(self) -> None:
         """Ask for the next part of a newer document, if one is due."""
-        ask = self._fetch.next_ask(
+        ask = self._fetch.next_request(
             have=self._site.version, now=self._loop.time()
         )
         if ask is not None:
             self._say_ask(ask)
-            ask.holder.send(ask.msg)
+            ask.peer.send(ask.msg)
         self._set_timer()
 
-    def _say_ask(self, ask: document_fetch.Ask[channel.Channel]) -> None:
-        self._site.metrics.count("document_asks", _Asks.of(ask.again))
-        if ask.msg.offset and not ask.again:
+    def _say_ask(
+        self, ask: document_fetch.FetchRequest[channel.Channel]
+    ) -> None:
+        self._site.metrics.count("document_asks", _Asks.of(ask.is_retry))
+        if ask.msg.offset and not ask.is_retry:
             # One line a transfer is enough where nothing goes wrong.
             return
         logs.say(
@@ -70,8 +72,8 @@
             version=self._fetch.newest,
             have=ask.msg.have,
             offset=ask.msg.offset,
-            peer=self._hosts[ask.holder],
-            again=ask.again,
+            peer=self._hosts[ask.peer],
+            again=ask.is_retry,
         )
 
     def _set_timer(self) -> None:
@@ -83,13 +85,13 @@
 
     def take(self, conn: channel.Channel, part: messages.RoutingPart) -> None:
         """A part has come over a link."""
-        arrived = self._fetch.take(conn, part, self._loop.time())
+        arrived = self._fetch.receive(conn, part, self._loop.time())
         if arrived is not None:
             self._on_change(part, arrived)
         self._ask()
 
     def _on_change(
-        self, part: messages.RoutingPart, arrived: document_fetch.Arrived
+        self, part: messages.RoutingPart, arrived: document_fetch.Transfer
     ) -> None:
         before = self._site.version
         try:
@@ -104,7 +106,7 @@
                 before=before,
                 why=str(exc),
             )
-            self._fetch.failed(have=before, now=self._loop.time())
+            self._fetch.reject_document(have=before, now=self._loop.time())
             return
         if is_new:
             logs.say(
--- a/rackpost/gateway/site.py
+++ b/rackpost/gateway/site.py
@@ -66,7 +66,7 @@
         # Set once there are routes.
         self.routed = asyncio.Event()
         self.table = endpoints.EndpointTable()
-        self.suspects = crash_tracker_mod.Suspects(table=self.table)
+        self.suspects = crash_tracker_mod.CrashTracker(table=self.table)
         self.loads_changed = asyncio.Event()
         self.loads = endpoint_load.LoadBook(changed=self.loads_changed.set)
         self.room_changed = asyncio.Event()
@@ -90,14 +90,14 @@
         self.pace = token_timing_mod.Pace()
         self.lengths = answer_lengths.AnswerLengths()
         self.refused = recent_refusals_mod.RefusedBook()
-        self.room = admission_queue_mod.Room(
+        self.room = admission_queue_mod.AdmissionQueue(
             chooser=self.chooser,
             loads=self.loads,
             pace=self.pace,
-            changed=self.room_changed,
+            capacity_changed=self.room_changed,
             rng=self.rng,
             vm=host.vm,
-            waiters_changed=self.loads_changed.set,
+            on_waiters_changed=self.loads_changed.set,
             split=policy.split,
         )
         self.quotas = quota_buckets.SharedBuckets(
@@ -105,7 +105,7 @@
             began=self.began,
             limit_of=self._limit_of,
         )
-        self.grants = rate_grants.Grants(
+        self.grants = rate_grants.RateGrants(
             vm=host.vm,
             eligible=self.eligible,
             loads=self.loads,
--- a/rackpost/testing/fleet.py
+++ b/rackpost/testing/fleet.py
@@ -237,14 +237,14 @@
             rng=rng,
         )
         chooser.set_gateways(spec.gateways)
-        self.room = admission_queue_mod.Room(
+        self.room = admission_queue_mod.AdmissionQueue(
             chooser=chooser,
             loads=self.loads,
             pace=self.pace,
             rng=rng,
             vm=self.vm,
-            changed=self.changed,
-            waiters_changed=self.told.set,
+            capacity_changed=self.changed,
+            on_waiters_changed=self.told.set,
         )
         # As after a while of serving.
         self.pace.took(1000, 1000 * spec.read_s)
@@ -362,7 +362,7 @@
         gateway.number += 1
         now = self._loop.time()
         uses = gateway.uses()
-        first = gateway.room.first(now)
+        first = gateway.room.most_urgent_waiters(now)
         for other in self._gateways:
             if other is not gateway:
                 other.loads.take(
@@ -403,22 +403,26 @@
             event_tokens=spec.event,
             spread=gateway.lengths.spread,
         )
-        place = await gateway.room.wait(
+        place = await gateway.room.reserve(
             _wanted(spec, gateway.pace, progress.run, began)
         )
-        if isinstance(place, reservation_mod.Full):
+        if isinstance(place, reservation_mod.NoCapacity):
             self.outcome.refused += 1
             return True
         try:
-            if place.reader is not None:
-                took = await self._readers[place.reader.id].read(prompt)
+            if place.prefill_endpoint is not None:
+                took = await self._readers[place.prefill_endpoint.id].read(
+                    prompt
+                )
                 gateway.pace.took(prompt, took)
-            place.was_read()
+            place.record_prefilled()
             stream = _Stream(prompt=prompt, answer=answer, progress=progress)
             engine = self._engines[place.endpoint.id]
             if not engine.take(stream):
                 self.outcome.wasted += prompt
-                gateway.health.turned_away(place.endpoint.id, place.since)
+                gateway.health.turned_away(
+                    place.endpoint.id, place.reserved_at
+                )
                 return False
             await stream.ended.wait()
         finally:
@@ -440,14 +444,14 @@
     pace: token_timing_mod.Pace,
     run: kv_forecast.Run,
     began: float,
-) -> reservation_mod.Wanted:
+) -> reservation_mod.ReservationRequest:
     start_s = pace.start_s(run.size)
-    return reservation_mod.Wanted(
+    return reservation_mod.ReservationRequest(
         service=SERVICE,
-        capacity=spec.memory,
+        memory_tokens=spec.memory,
         run=run,
-        but=(),
-        event_s=pace.making_s(spec.event),
+        exclude=(),
+        event_interval_s=pace.making_s(spec.event),
         claim=queue_order.Claim(
             priority=1,
             target=began + spec.target_s,
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -218,7 +218,7 @@
         self._loads = endpoint_load.LoadBook(changed=lambda: None)
         self._number = 0
         self._life = world.rng.getrandbits(32)
-        self._grants = rate_grants.Grants(
+        self._grants = rate_grants.RateGrants(
             vm=vm,
             eligible=self._eligible,
             loads=self._loads,
@@ -242,7 +242,7 @@
             return False
         self._eligible.chose(ENDPOINT, now)
         try:
-            async with self._grants.granted(
+            async with self._grants.acquire(
                 ENDPOINT, priority=2, waits=self._world.spec.waits
             ) as grant:
                 self._grants.spend(ENDPOINT, grant)
@@ -257,7 +257,7 @@
             now = self._world.now()
             self._loads.take(msg.vm, msg.life, msg.number, {}, now)
         else:
-            self._grants.take(msg, sender)
+            self._grants.receive(msg, sender)
 
     def tell(self) -> None:
         """Tell the others that this one is there."""
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -29,10 +29,10 @@
 
     def __init__(self, *, number: int) -> None:
         self.vm = types.VmId(f"g{number}")
-        self.told = asyncio.Event()
+        self.publish_due = asyncio.Event()
         self.changed = asyncio.Event()
         self.table = endpoints.EndpointTable()
-        self.loads = endpoint_load.LoadBook(changed=self.told.set)
+        self.loads = endpoint_load.LoadBook(changed=self.publish_due.set)
         self.health = endpoint_health.HealthBook()
         self.sent = 0
         rng = random.Random(number)
@@ -41,7 +41,7 @@
         )
         known = token_timing.Pace()
         known.made(100, 3.0)
-        self.room = admission_queue.Room(
+        self.queue = admission_queue.AdmissionQueue(
             chooser=endpoint_choice.Chooser(
                 candidates=candidates.Candidates(
                     table=self.table,
@@ -58,8 +58,8 @@
             pace=known,
             rng=rng,
             vm=self.vm,
-            changed=self.changed,
-            waiters_changed=self.told.set,
+            capacity_changed=self.changed,
+            on_waiters_changed=self.publish_due.set,
         )
 
     def add_endpoint(self, number: int) -> None:
@@ -97,15 +97,15 @@
         self.gateways = [Gateway(number=number) for number in range(count)]
         self.tasks = []
         for gateway in self.gateways:
-            self.tasks.append(asyncio.create_task(gateway.room.run()))
+            self.tasks.append(asyncio.create_task(gateway.queue.run()))
             self.tasks.append(asyncio.create_task(self._tell(gateway)))
 
     async def _tell(self, gateway: Gateway) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await gateway.told.wait()
+            await gateway.publish_due.wait()
             await asyncio.sleep(_TELL_S)
-            gateway.told.clear()
+            gateway.publish_due.clear()
             gateway.sent += 1
             now = loop.time()
             uses = {
@@ -124,22 +124,22 @@
                         gateway.sent,
                         uses,
                         now,
-                        first=gateway.room.first(now),
+                        first=gateway.queue.most_urgent_waiters(now),
                     )
                     other.changed.set()
 
     async def generate(
-        self, gateway: Gateway, needs: reservation_mod.Wanted
-    ) -> reservation_mod.Place | reservation_mod.Full:
+        self, gateway: Gateway, needs: reservation_mod.ReservationRequest
+    ) -> reservation_mod.DecodeReservation | reservation_mod.NoCapacity:
         """Wait for a place and have the prompt read, as a request does."""
-        place = await gateway.room.wait(needs)
-        if isinstance(place, reservation_mod.Place):
+        place = await gateway.queue.reserve(needs)
+        if isinstance(place, reservation_mod.DecodeReservation):
             await asyncio.sleep(_READ_S)
-            gateway.room._pace.took(needs.run.size, _READ_S)
-            place.was_read()
+            gateway.queue._pace.took(needs.run.size, _READ_S)
+            place.record_prefilled()
         return place
 
-    def most_at(self, number: int) -> int:
+    def requests_at(self, number: int) -> int:
         key = types.EndpointId(f"d{number}")
         return sum(
             gateway.loads.own.get(key, endpoint_load.Use()).requests
@@ -151,12 +151,14 @@
             task.cancel()
 
 
-def wanted(now: float, left_s: float) -> reservation_mod.Wanted:
-    return reservation_mod.Wanted(
+def reservation_request(
+    now: float, left_s: float
+) -> reservation_mod.ReservationRequest:
+    return reservation_mod.ReservationRequest(
         service=SERVICE,
-        capacity=100_000,
+        memory_tokens=100_000,
         run=kv_forecast.Run(size=1000, left=1000),
-        but=(),
+        exclude=(),
         claim=queue_order.Claim(
             priority=1,
             target=now + left_s,
@@ -178,7 +180,9 @@
         await asyncio.sleep(0.1)
         waits = [
             asyncio.create_task(
-                group.generate(gateway, wanted(loop.time(), 0.5 + 0.01 * at))
+                group.generate(
+                    gateway, reservation_request(loop.time(), 0.5 + 0.01 * at)
+                )
             )
             for at, gateway in enumerate(group.gateways * 2)
         ]
@@ -189,17 +193,17 @@
             gateway.add_endpoint(0)
         for _ in range(300):
             await asyncio.sleep(0.01)
-            most = max(most, group.most_at(0))
+            most = max(most, group.requests_at(0))
         assert SLOTS - 1 <= most <= SLOTS + 2
         placed = [task for task in waits if task.done()]
         for task in placed:
             place = task.result()
-            assert isinstance(place, reservation_mod.Place)
+            assert isinstance(place, reservation_mod.DecodeReservation)
             place.release()
         # What is released is taken by others, again by few at a time.
         for _ in range(300):
             await asyncio.sleep(0.01)
-            most = max(most, group.most_at(0))
+            most = max(most, group.requests_at(0))
         assert most <= SLOTS + 2
         assert sum(task.done() for task in waits) >= 2 * SLOTS - 2
         group.close()
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -201,8 +201,10 @@
                     )
                     for number in range(3)
                 ]
-                suspects.take(told, site.now())
-                is_held = suspects.left_s(known_by, site.now()) > 0.0
+                suspects.receive(told, site.now())
+                is_held = (
+                    suspects.quarantine_left_s(known_by, site.now()) > 0.0
+                )
                 assert is_held is not framed
 
     asyncio.run(main())
--- a/tests/test_document_updates.py
+++ b/tests/test_document_updates.py
@@ -56,7 +56,7 @@
         if missing:
             version = self.rng.choice(missing)
             feed.put(self.docs[version])
-        self.fetch.told(name, feed.version)
+        self.fetch.record_version(name, feed.version)
 
     def disturb(self) -> None:
         """Something goes wrong with one coordinator."""
@@ -65,7 +65,7 @@
         if kind == 0:
             self.silent ^= {name}
         elif kind == 1:
-            self.fetch.lost(name)
+            self.fetch.remove_peer(name)
             self.way = [item for item in self.way if item[1] != name]
         elif kind == 2:
             # It has started again, and knows the newest alone.
@@ -73,8 +73,8 @@
             if self.feeds[name].version:
                 feed.put(self.docs[self.feeds[name].version])
             self.feeds[name] = feed
-            self.fetch.lost(name)
-            self.fetch.told(name, feed.version)
+            self.fetch.remove_peer(name)
+            self.fetch.record_version(name, feed.version)
         else:
             self.catch_up(name)
 
@@ -84,16 +84,16 @@
         due = [item for item in self.way if item[0] <= self.now]
         self.way = [item for item in self.way if item[0] > self.now]
         for _, name, part in due:
-            arrived = self.fetch.take(name, part, self.now)
+            arrived = self.fetch.receive(name, part, self.now)
             if arrived is not None:
                 self.use(arrived.data)
-        ask = self.fetch.next_ask(have=self.table.version, now=self.now)
-        if ask is None or ask.holder in self.silent:
+        ask = self.fetch.next_request(have=self.table.version, now=self.now)
+        if ask is None or ask.peer in self.silent:
             return
-        answer = self.feeds[ask.holder].part(ask.msg)
+        answer = self.feeds[ask.peer].part(ask.msg)
         if answer is not None:
             late = self.rng.choice([0.01, 0.05, 0.2, 0.7])
-            self.way.append((self.now + late, ask.holder, answer))
+            self.way.append((self.now + late, ask.peer, answer))
 
     def use(self, data: bytes) -> None:
         """Put what has come in force, as a gateway does."""
@@ -104,7 +104,7 @@
         try:
             self.table.apply(change)
         except exceptions.RoutingError:
-            self.fetch.failed(have=before, now=self.now)
+            self.fetch.reject_document(have=before, now=self.now)
             return
         assert self.table.version > before
         doc = self.docs[self.table.version]
@@ -127,7 +127,7 @@
     newest = max(run.docs)
     for name in NAMES:
         run.feeds[name].put(run.docs[newest])
-        run.fetch.told(name, newest)
+        run.fetch.record_version(name, newest)
     for _ in range(STEPS):
         run.step()
     assert run.table.version == newest
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -45,7 +45,7 @@
 
 @pytest.fixture(scope="module")
 def crowd() -> Mean:
-    return Mean(told_s=load_exchange.gather_s(68))
+    return Mean(told_s=load_exchange.batching_delay_s(68))
 
 
 def test_a_crowd_is_answered_in_time(crowd: Mean) -> None:
@@ -61,7 +61,7 @@
     crowd: Mean, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(kv_forecast, "_CERTAINTY", 0.0)
-    without = Mean(told_s=load_exchange.gather_s(68))
+    without = Mean(told_s=load_exchange.batching_delay_s(68))
     assert crowd.preempted < 0.7 * without.preempted
     assert crowd.long_pause < 0.7 * without.long_pause
 
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -128,5 +128,5 @@
     In a crowd of 30 generations a second two gateways then gave the same
     room away, and runs were preempted.
     """
-    assert load_exchange.gather_s(68) < 0.02
-    assert load_exchange.gather_s(370) < 0.05
+    assert load_exchange.batching_delay_s(68) < 0.02
+    assert load_exchange.batching_delay_s(370) < 0.05
--- a/tests/test_plain_queue.py
+++ b/tests/test_plain_queue.py
@@ -67,15 +67,19 @@
     assert line.turn_s(0.0, 2.0, 100.0) == 0.0
 
 
-def _wanted(now: float, left_s: float) -> reservation_mod.Wanted:
-    found = test_admission_queue.wanted(now, left_s)
+def _wanted(now: float, left_s: float) -> reservation_mod.ReservationRequest:
+    found = test_admission_queue.reservation_request(now, left_s)
     claim = msgspec.structs.replace(found.claim, start_by=now + left_s)
     return msgspec.structs.replace(found, claim=claim)
 
 
 async def _crowd(
     group: test_admission_queue.Group, count: int, left_s: float
-) -> list[asyncio.Task[reservation_mod.Place | reservation_mod.Full]]:
+) -> list[
+    asyncio.Task[
+        reservation_mod.DecodeReservation | reservation_mod.NoCapacity
+    ]
+]:
     """Generations that come at one moment to one gateway."""
     now = asyncio.get_running_loop().time()
     gateway = group.gateways[0]
@@ -88,10 +92,16 @@
 
 
 def _refused(
-    tasks: list[asyncio.Task[reservation_mod.Place | reservation_mod.Full]],
-) -> list[reservation_mod.Full]:
+    tasks: list[
+        asyncio.Task[
+            reservation_mod.DecodeReservation | reservation_mod.NoCapacity
+        ]
+    ],
+) -> list[reservation_mod.NoCapacity]:
     done = [task.result() for task in tasks if task.done()]
-    return [item for item in done if isinstance(item, reservation_mod.Full)]
+    return [
+        item for item in done if isinstance(item, reservation_mod.NoCapacity)
+    ]
 
 
 def test_of_a_crowd_at_a_rate_those_past_their_time_are_told_at_once() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -63,7 +63,7 @@
         )
         other = messages.GatewayAddress(vm=types.VmId("g2"), loads="h:1")
         site.set_gateways([other])
-        telling = load_exchange.LoadShare(site=site)
+        telling = load_exchange.LoadExchange(site=site)
         found = Sent()
         telling._transport = found  # type: ignore[assignment]
         telling._send()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -146,8 +146,8 @@
     def __init__(self) -> None:
         self.table = endpoints.EndpointTable()
         self.told: list[quarantine.Suspicion] = []
-        self.suspects = crash_tracker_mod.Suspects(table=self.table)
-        self.suspects.tell = self.told.extend
+        self.suspects = crash_tracker_mod.CrashTracker(table=self.table)
+        self.suspects.publish = self.told.extend
 
     def hear(self, number: int, now: float, **more: object) -> None:
         item = endpoints.Endpoint(
@@ -162,10 +162,10 @@
         self, request: types.Fingerprint, number: int, now: float
     ) -> None:
         endpoint = self.table.alive[types.EndpointId(f"e{number}")]
-        self.suspects.ended(request, endpoint, ran_s=0.1, now=now)
+        self.suspects.record_broken(request, endpoint, ran_s=0.1, now=now)
 
     def is_held(self, request: types.Fingerprint, now: float) -> bool:
-        return self.suspects.left_s(request, now) > 0.0
+        return self.suspects.quarantine_left_s(request, now) > 0.0
 
 
 def test_resets_of_endpoints_that_live_on_hold_nothing_back_for_long() -> None:
@@ -178,7 +178,7 @@
         now = 1.2 * step
         for number in range(3):
             gateway.hear(number, now)
-        gateway.suspects.look(now)
+        gateway.suspects.recheck(now)
     assert not gateway.is_held(_INNOCENT, now)
     assert [one.cleared for one in gateway.told] == [False] * 3 + [True] * 3
 
@@ -191,7 +191,7 @@
         gateway.breaks(_BAD, number, 0.5)
         gateway.hear(number, 2.9)
     for step in range(20):
-        gateway.suspects.look(3.0 + step)
+        gateway.suspects.recheck(3.0 + step)
     assert gateway.is_held(_BAD, 23.0)
 
 
@@ -203,7 +203,7 @@
     for step in range(4, 20):
         for number in range(3):
             gateway.hear(number, float(step), born=4000)
-        gateway.suspects.look(float(step))
+        gateway.suspects.recheck(float(step))
     assert gateway.is_held(_BAD, 20.0)
 
 
@@ -215,7 +215,7 @@
         gateway.hear(number, 1.0, state=endpoints.EndpointState.DRAINING)
         if number % 2:
             gateway.hear(number, 2.0, state=endpoints.EndpointState.GONE)
-        gateway.suspects.ended(_INNOCENT, endpoint, ran_s=1.0, now=3.0)
+        gateway.suspects.record_broken(_INNOCENT, endpoint, ran_s=1.0, now=3.0)
     assert not gateway.is_held(_INNOCENT, 3.0)
     assert not gateway.told
 
@@ -226,20 +226,20 @@
     for number in range(3):
         one.hear(number, 0.0)
         one.breaks(_INNOCENT, number, 0.5)
-    other.suspects.served(_INNOCENT, 0.4)
-    other.suspects.take(one.told, 0.6)
+    other.suspects.record_served(_INNOCENT, 0.4)
+    other.suspects.receive(one.told, 0.6)
     assert not other.is_held(_INNOCENT, 0.7)
-    one.suspects.take(other.told, 0.8)
+    one.suspects.receive(other.told, 0.8)
     assert not one.is_held(_INNOCENT, 0.9)
 
 
 def test_what_was_answered_before_new_software_came_clears_nothing() -> None:
     one, other = _Gateway(), _Gateway()
-    other.suspects.served(_BAD, 0.0)
+    other.suspects.record_served(_BAD, 0.0)
     for number in range(3):
         one.hear(number, 60.0)
         one.breaks(_BAD, number, 60.5)
-    other.suspects.take(one.told, 61.0)
+    other.suspects.receive(one.told, 61.0)
     assert other.is_held(_BAD, 62.0)
 
 
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -300,7 +300,7 @@
             broken=(types.EndpointId("a"),),
             full=(types.EndpointId("b"),),
         )
-        share = load_exchange.LoadShare(site=site)
+        share = load_exchange.LoadExchange(site=site)
         share.datagram_received(codec.encode(told), None)
         now = site.loop_time()
         later = queue_order.Left(priority=0, slack_s=2.0, start_s=5.0)
--- a/tests/test_token_timing.py
+++ b/tests/test_token_timing.py
@@ -49,9 +49,9 @@
     assert pace.expected_s(_TOKENS) < 2.5 * _USUAL_S
 
 
-def _wanted(now: float) -> reservation_mod.Wanted:
+def _wanted(now: float) -> reservation_mod.ReservationRequest:
     """A generation whose caller leaves after a second without an event."""
-    found = test_admission_queue.wanted(now, 0.5)
+    found = test_admission_queue.reservation_request(now, 0.5)
     claim = msgspec.structs.replace(
         found.claim, start_by=now + 1.0, start_s=_HELD_UP_S
     )
@@ -71,7 +71,7 @@
         for _ in range(60):
             await asyncio.sleep(0.1)
             place = await group.generate(gateway, _wanted(loop.time()))
-            if isinstance(place, reservation_mod.Place):
+            if isinstance(place, reservation_mod.DecodeReservation):
                 place.release()
                 placed += 1
         # One at a time, some each few seconds, until the pace is known.
