--- a/lab/documents.py
+++ b/lab/documents.py
@@ -90,15 +90,15 @@
 
 
 def _print_change(name: str, old: model.Document, new: model.Document) -> None:
-    change = changes.between(old, new)
+    change = changes.diff(old, new)
     data = changes.encode(change)
-    table = _table(changes.whole(old))
+    table = _table(changes.from_empty(old))
     began = time.perf_counter()
     table.apply(change)
     took = (time.perf_counter() - began) * 1e3
     print(
         f"  {name}: {len(data)} B; coordinator: compare "
-        f"{best_ms(lambda: changes.between(old, new)):.2f} ms, encode "
+        f"{best_ms(lambda: changes.diff(old, new)):.2f} ms, encode "
         f"{best_ms(lambda: changes.encode(change)):.2f}; gateway: decode "
         f"{best_ms(lambda: changes.decode(data)):.2f}, apply {took:.2f}"
     )
@@ -108,10 +108,10 @@
     """What one key more of many organisations costs."""
     routes = [_route(rng) for _ in range(_KEYED_ROUTES)]
     held = [_organisation(rng) for _ in range(_ORGANISATIONS)]
-    reader = documents.Reader()
+    reader = documents.IncrementalDecoder()
     text = source(1, routes, held)
     doc = reader.decode(text)
-    whole = len(changes.encode(changes.whole(doc)))
+    whole = len(changes.encode(changes.from_empty(doc)))
     print(
         f"{_ORGANISATIONS} organisations, {_KEYED_ROUTES} routes: "
         f"{len(text)} B as sent, {whole} B whole; coordinator: decode "
@@ -131,9 +131,9 @@
     for size in _SIZES:
         text = source(1, routes[:size])
         doc = documents.decode(text)
-        whole = changes.whole(doc)
+        whole = changes.from_empty(doc)
         data = changes.encode(whole)
-        reader = documents.Reader()
+        reader = documents.IncrementalDecoder()
         reader.decode(text)
         print(
             f"{size} routes: {len(text)} B as sent; coordinator: decode "
--- a/rackpost/cmd_operator.py
+++ b/rackpost/cmd_operator.py
@@ -397,7 +397,7 @@
 
 def site_held(asked: operator_commands.SiteHeld) -> str:
     """Requests that are held back."""
-    return _shown(asked, site_overview.held)
+    return _shown(asked, site_overview.quarantined)
 
 
 _ACTIONS: dict[type, Callable[[Any], str]] = {
--- a/rackpost/coordinator/api.py
+++ b/rackpost/coordinator/api.py
@@ -43,7 +43,7 @@
         directory: directory_mod.Directory,
         metrics: metrics_mod.Metrics,
         spread: Callable[[endpoints.Endpoint], None],
-        reader: documents.Reader,
+        reader: documents.IncrementalDecoder,
         services: Callable[[], frozenset[types.ServiceName]],
         quarantine: quarantine_keeper.QuarantineKeeper,
     ) -> None:
@@ -141,8 +141,8 @@
             )
 
     def _take(self, said: endpoints.Endpoint) -> None:
-        item = self._directory.with_life(said)
-        if self._directory.take(item):
+        item = self._directory.with_incarnation(said)
+        if self._directory.update(item):
             self._spread(item)
 
     async def _put(
--- a/rackpost/coordinator/directory.py
+++ b/rackpost/coordinator/directory.py
@@ -44,9 +44,9 @@
         # What organisations use of their quotas, by gateway.
         self.quotas: dict[types.VmId, tuple[quota_use.Use, ...]] = {}
 
-    def take(self, item: endpoints.Endpoint) -> bool:
+    def update(self, item: endpoints.Endpoint) -> bool:
         """Take news of an endpoint and pass them on if they are any."""
-        changed = self.table.take(item, self._loop.time())
+        changed = self.table.update(item, self._loop.time())
         self._fresh.add(item.id)
         if changed:
             logs.say(
@@ -60,7 +60,7 @@
                 sequence=item.sequence,
                 born=item.born,
             )
-            self.tell_gateways(news(item))
+            self.tell_gateways(update_for(item))
         return changed
 
     def tell_gateways(self, msg: msgspec.Struct) -> None:
@@ -68,15 +68,15 @@
         for conn in list(self.gateways):
             conn.send(msg)
 
-    def take_fresh(self) -> messages.Heard | None:
+    def take_fresh(self) -> messages.HeartbeatNotice | None:
         """Whose heartbeats have come here since the last call, if any."""
         if not self._fresh:
             return None
-        msg = messages.Heard(digests=digests.pack(self._fresh))
+        msg = messages.HeartbeatNotice(digests=digests.pack(self._fresh))
         self._fresh.clear()
         return msg
 
-    def ask_of_silent(self) -> None:
+    def query_silent(self) -> None:
         """Ask a few gateways of endpoints that nothing is heard of here."""
         before = self._loop.time() - self._ask_s
         ids = self.table.silent(before)[:_MOST_ASKED_OF]
@@ -84,9 +84,9 @@
             return
         count = min(_ASKED, len(self.gateways))
         for conn in self._rng.sample(list(self.gateways), count):
-            conn.send(messages.Silent(ids=tuple(ids)))
+            conn.send(messages.SilenceQuery(ids=tuple(ids)))
 
-    def with_life(self, item: endpoints.Endpoint) -> endpoints.Endpoint:
+    def with_incarnation(self, item: endpoints.Endpoint) -> endpoints.Endpoint:
         """What an endpoint said, with its life as it is known here.
 
         Who ends without telling its life ends the one that it was heard
@@ -97,9 +97,9 @@
             return item
         return msgspec.structs.replace(item, born=known.born)
 
-    def whole(self) -> messages.Endpoints:
+    def full_update(self) -> messages.EndpointUpdate:
         """All that is known, for a process that has just linked."""
-        return messages.Endpoints(
+        return messages.EndpointUpdate(
             alive=tuple(self.table.alive.values()),
             ended=tuple(self.table.ended()),
         )
@@ -117,15 +117,15 @@
             )
 
 
-def news(item: endpoints.Endpoint) -> messages.Endpoints:
+def update_for(item: endpoints.Endpoint) -> messages.EndpointUpdate:
     """The message that tells of one endpoint."""
     if item.state is endpoints.EndpointState.GONE:
-        return messages.Endpoints(ended=(item.incarnation,))
-    return messages.Endpoints(alive=(item,))
+        return messages.EndpointUpdate(ended=(item.incarnation,))
+    return messages.EndpointUpdate(alive=(item,))
 
 
-def take_news(
-    table: endpoints.EndpointTable, msg: messages.Endpoints, now: float
+def apply_update(
+    table: endpoints.EndpointTable, msg: messages.EndpointUpdate, now: float
 ) -> list[endpoints.Endpoint]:
     """Put told news into a table; those that changed it."""
     told = list(msg.alive)
@@ -135,4 +135,4 @@
         )
         for life in msg.ended
     ]
-    return [item for item in told if table.take(item, now)]
+    return [item for item in told if table.update(item, now)]
--- a/rackpost/coordinator/disk.py
+++ b/rackpost/coordinator/disk.py
@@ -20,7 +20,7 @@
 _NEW_ID_BYTES = 6
 
 
-class PatientDisk(storage.Disk):
+class RetryingDisk(storage.Disk):
     """Tries again until what must be durable is.
 
     Meanwhile the replica sends nothing, so that a leader with a faulty
--- a/rackpost/coordinator/links.py
+++ b/rackpost/coordinator/links.py
@@ -17,13 +17,13 @@
 SECURITY = websocket.Security(key=b"rackpost-site-link")
 # A cut says nothing: a silent peer is given up after 1.5 s, and dialled
 # again every 0.15 s, so that a healed link is back within a second.
-PATIENCE = websocket.Patience(
+TIMEOUTS = websocket.Patience(
     ping_s=0.7, ping_timeout_s=0.8, open_s=1.0, close_s=0.2
 )
 _REDIAL_S = 0.15
 # A host that is down answers nothing, and one that has just come up does
 # not see what was sent before: a first dial is given up after this, in
-# seconds, each further one has twice the time up to `PATIENCE.open_s`.
+# seconds, each further one has twice the time up to `TIMEOUTS.open_s`.
 # Some 20 times the usual time.  With a whole second, gateways that started
 # just before their coordinators were linked 1.1 s later (all power lost).
 _FIRST_OPEN_S = 0.2
@@ -43,17 +43,17 @@
 
 
 class Dialler:
-    """Keeps a link to each of a set of hosts; `use` runs while it is up."""
+    """Keeps a link to each of a set of hosts; `on_link` runs on each."""
 
     def __init__(
-        self, *, part: logs.Part, port: int, kinds: Any, use: Use
+        self, *, part: logs.Part, port: int, kinds: Any, on_link: Use
     ) -> None:
         self._part = part
         self._port = port
         self._kinds = kinds
-        self._use = use
+        self._use = on_link
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self.up: set[str] = set()
+        self.linked_hosts: set[str] = set()
 
     def set_hosts(self, hosts: Iterable[str]) -> None:
         """Link to these hosts, and to no others."""
@@ -71,7 +71,7 @@
                     f"{host}:{self._port}",
                     security=SECURITY,
                     kinds=self._kinds,
-                    patience=msgspec.structs.replace(PATIENCE, open_s=open_s),
+                    patience=msgspec.structs.replace(TIMEOUTS, open_s=open_s),
                 ) as conn:
                     open_s = _FIRST_OPEN_S
                     await self._while_up(host, conn)
@@ -81,19 +81,19 @@
                     logs.say(
                         self._part, "Link not made.", peer=host, why=str(exc)
                     )
-                open_s = min(2.0 * open_s, PATIENCE.open_s)
+                open_s = min(2.0 * open_s, TIMEOUTS.open_s)
             await asyncio.sleep(_REDIAL_S)
 
     async def _while_up(
         self, host: str, conn: websocket.WebSocketChannel
     ) -> None:
         logs.say(self._part, "Link is up.", peer=host)
-        self.up.add(host)
+        self.linked_hosts.add(host)
         try:
             await self._use(host, conn)
             await conn.ended()
         finally:
-            self.up.discard(host)
+            self.linked_hosts.discard(host)
             logs.say(self._part, "Link is lost.", peer=host, why=conn.why)
 
     def close(self) -> None:
--- a/rackpost/coordinator/messages.py
+++ b/rackpost/coordinator/messages.py
@@ -23,31 +23,31 @@
 
 
 class GatewayHello(_Message, frozen=True, tag="gateway"):
-    """First message of a gateway; `loads` is its address for `Loads`."""
+    """First message of a gateway, with its address for `GatewayLoad`."""
 
     vm: types.VmId
-    loads: str
+    load_address: str
 
 
-class Fetch(_Message, frozen=True, tag="fetch"):
+class FetchRouting(_Message, frozen=True, tag="fetch"):
     """Ask for a part of what leads to the newest routing document.
 
-    `have` is the version that the gateway has, 0 if none.  In a transfer
-    `digest` says of what, and `offset` how many bytes have come.
+    `held_version` is the version that the gateway has, 0 if none.  In a
+    transfer `digest` says of what, and `offset` how many bytes have come.
     """
 
-    have: int
+    held_version: int
     digest: int = 0
     offset: int = 0
 
 
-class RoutingAt(_Message, frozen=True, tag="at"):
+class RoutingVersion(_Message, frozen=True, tag="at"):
     """The version of the routing document that this replica holds."""
 
     version: int
 
 
-class RoutingPart(_Message, frozen=True, tag="part"):
+class RoutingChunk(_Message, frozen=True, tag="part"):
     """Bytes of an encoded change from `base` to `version`.
 
     `size` is how many there are in all, `digest` their CRC-32.
@@ -61,15 +61,15 @@
     data: bytes
 
 
-class Endpoints(_Message, frozen=True, tag="endpoints"):
+class EndpointUpdate(_Message, frozen=True, tag="endpoints"):
     """News of endpoints, and lives of endpoints that have ended."""
 
     alive: tuple[endpoints.Endpoint, ...] = ()
     ended: tuple[endpoints.Incarnation, ...] = ()
 
 
-class Heard(_Message, frozen=True, tag="heard-endpoints"):
-    """Endpoints whose heartbeats have come here since the last `Heard`.
+class HeartbeatNotice(_Message, frozen=True, tag="heard-endpoints"):
+    """Endpoints whose heartbeats came here since the last `HeartbeatNotice`.
 
     Of a gateway: those of which some coordinator has told it lately.  They
     are told by the digests of their ids (`routing/digests.py`).
@@ -78,7 +78,7 @@
     digests: bytes
 
 
-class Silent(_Message, frozen=True, tag="silent-endpoints"):
+class SilenceQuery(_Message, frozen=True, tag="silent-endpoints"):
     """Endpoints that a coordinator hears nothing of: has a gateway?
 
     A gateway may reach coordinators that do not reach each other.
@@ -87,7 +87,7 @@
     ids: tuple[types.EndpointId, ...]
 
 
-class Changing(_Message, frozen=True, tag="changing"):
+class ChangingEndpoints(_Message, frozen=True, tag="changing"):
     """Endpoints that change their role and take nothing meanwhile."""
 
     ids: tuple[types.EndpointId, ...]
@@ -114,10 +114,10 @@
 
 
 class GatewayAddress(_Message, frozen=True):
-    """Where a gateway takes `Loads`, as host:port."""
+    """Where a gateway takes `GatewayLoad`, as host:port."""
 
     vm: types.VmId
-    loads: str
+    load_address: str
 
 
 class Peers(_Message, frozen=True, tag="peers"):
@@ -133,39 +133,39 @@
     replica: consensus.ReplicaId
 
 
-class Loads(_Message, frozen=True, tag="loads"):
-    """What a gateway has under way; `number` grows within one `life`.
+class GatewayLoad(_Message, frozen=True, tag="loads"):
+    """What a gateway has under way; `sequence` grows within one `incarnation`.
 
-    `loads` is where the gateway takes such messages, as host:port.
-    `broken` and `full` are endpoints that it has just seen fail or turn a
-    request away, `first` the generations that wait for room and go first,
-    `refused` are keys of `RefusedBook`, `quotas` what organisations have
+    `load_address` is where the gateway takes such messages, as host:port.
+    `failed` and `rejecting` are endpoints that it has just seen fail or turn a
+    request away, `waiting` the generations that wait for room and go first,
+    `refused_keys` are keys of `RefusedBook`, `quotas` what organisations have
     spent there, `backoffs` how long it is to send nothing to some endpoints,
     in seconds, `named_rates` what endpoints' answers named there.
     """
 
     vm: types.VmId
-    loads: str
-    life: int
-    number: int
-    uses: dict[types.EndpointId, endpoint_load.Use]
-    broken: tuple[types.EndpointId, ...] = ()
-    full: tuple[types.EndpointId, ...] = ()
-    first: tuple[queue_order_mod.Left, ...] = ()
-    refused: tuple[int, ...] = ()
+    load_address: str
+    incarnation: int
+    sequence: int
+    loads: dict[types.EndpointId, endpoint_load.Use]
+    failed: tuple[types.EndpointId, ...] = ()
+    rejecting: tuple[types.EndpointId, ...] = ()
+    waiting: tuple[queue_order_mod.Left, ...] = ()
+    refused_keys: tuple[int, ...] = ()
     quotas: quota.Told = quota.Told()
     backoffs: dict[types.EndpointId, float] = {}
     named_rates: tuple[endpoint_rates.Told, ...] = ()
 
 
-class AskGrant(_Message, frozen=True, tag="ask-grant"):
+class GrantRequest(_Message, frozen=True, tag="ask-grant"):
     """Ask the owner of an endpoint's rate for one request.
 
-    `number` is the asker's own, `rate` what it knows of the rate.
+    `sequence` is the asker's own, `rate` what it knows of the rate.
     """
 
     number: int
-    wish: rate_grants.Wish
+    applicant: rate_grants.Wish
     rate: endpoint_rates.Told
 
 
@@ -173,29 +173,38 @@
     """The owner's answer; `rate` is what it knows of the rate."""
 
     number: int
-    verdict: rate_grants.Verdict
+    decision: rate_grants.Verdict
     rate: endpoint_rates.Told
 
 
-class GiveBack(_Message, frozen=True, tag="give-back"):
+class ReturnGrant(_Message, frozen=True, tag="give-back"):
     """A request that was granted has not been sent."""
 
     endpoint: types.EndpointId
     born: int
 
 
-BetweenGateways = Union[Loads, AskGrant, GrantAnswer, GiveBack]
+BetweenGateways = Union[GatewayLoad, GrantRequest, GrantAnswer, ReturnGrant]
 
-FromGateway = Union[GatewayHello, Fetch, Demands, Endpoints, Heard, Suspicions]
+FromGateway = Union[
+    GatewayHello,
+    FetchRouting,
+    Demands,
+    EndpointUpdate,
+    HeartbeatNotice,
+    Suspicions,
+]
 ToGateway = Union[
-    RoutingAt,
-    RoutingPart,
-    Endpoints,
-    Heard,
-    Silent,
-    Changing,
+    RoutingVersion,
+    RoutingChunk,
+    EndpointUpdate,
+    HeartbeatNotice,
+    SilenceQuery,
+    ChangingEndpoints,
     Peers,
     Suspicions,
 ]
-FromReplica = Union[control.FromReplica, Join, Endpoints, Heard, Suspicions]
+FromReplica = Union[
+    control.FromReplica, Join, EndpointUpdate, HeartbeatNotice, Suspicions
+]
 FromAny = Union[FromGateway, FromReplica]
--- a/rackpost/coordinator/overview.py
+++ b/rackpost/coordinator/overview.py
@@ -216,7 +216,7 @@
             data_centre=item.data_centre,
             address=item.address,
             slots=item.slots,
-            silent_s=round(now - table.heard_at.get(item.id, now), 2),
+            silent_s=round(now - table.last_heartbeat_at.get(item.id, now), 2),
             changing=item.id in changing,
         )
         for item in found
--- a/rackpost/coordinator/peers.py
+++ b/rackpost/coordinator/peers.py
@@ -47,7 +47,9 @@
         return messages.Peers(
             coordinators=tuple(sorted(self._coordinators())),
             gateways=tuple(
-                messages.GatewayAddress(vm=item.vm, loads=item.loads)
+                messages.GatewayAddress(
+                    vm=item.vm, load_address=item.load_address
+                )
                 for item in by_vm.values()
             ),
         )
--- a/rackpost/coordinator/process.py
+++ b/rackpost/coordinator/process.py
@@ -67,12 +67,12 @@
         copies = host.tolerance.vms + 1
         self.node = node_mod.Node(
             loaded=loaded,
-            disk=disk_mod.PatientDisk(disk=self._file_disk),
+            disk=disk_mod.RetryingDisk(disk=self._file_disk),
             rng=random.Random(),
             copies=copies,
         )
         self.node.other = self._on_other
-        self.marks = commit_marks.CommitMarks(
+        self.commit_marks = commit_marks.CommitMarks(
             node=self.node, disk=self._file_disk
         )
         self.directory = directory_mod.Directory(
@@ -86,7 +86,7 @@
             tell_replicas=self.node.tell_all,
         )
         self.feed = routing_feed.RoutingFeed()
-        self._reader = documents.Reader()
+        self._reader = documents.IncrementalDecoder()
         # What a snapshot held is in force at once.
         self._take_routing()
         self._peers = peers.PeerNews(
@@ -98,7 +98,7 @@
             part=logs.Part.COORDINATOR,
             port=self._port + links.LINKS_PORT,
             kinds=messages.FromAny,
-            use=self._use_link,
+            on_link=self._use_link,
         )
         self._roles = roles.RoleKeeper(
             node=self.node,
@@ -138,7 +138,7 @@
             return
         if isinstance(msg, control.ReplicaHello):
             self.node.connect(msg.replica, conn)
-            conn.send(self.directory.whole())
+            conn.send(self.directory.full_update())
 
     async def _accept(self, conn: websocket.WebSocketChannel) -> None:
         conn.attach(
@@ -168,9 +168,9 @@
         if held is not None:
             # Before the document, with which it begins to serve.
             conn.send(held)
-        conn.send(messages.RoutingAt(version=self.feed.version))
-        conn.send(self.directory.whole())
-        conn.send(messages.Changing(ids=self._roles.changing))
+        conn.send(messages.RoutingVersion(version=self.feed.version))
+        conn.send(self.directory.full_update())
+        conn.send(messages.ChangingEndpoints(ids=self._roles.changing))
         self._peers.tell_newcomer(conn)
 
     def _gateway_left(self, conn: channel.Channel) -> None:
@@ -181,24 +181,26 @@
             self._peers.tell_soon()
 
     def _on_gateway(self, conn: channel.Channel, msg: msgspec.Struct) -> None:
-        if isinstance(msg, messages.Endpoints):
+        if isinstance(msg, messages.EndpointUpdate):
             self._on_news(msg)
         elif isinstance(msg, messages.Demands):
             hello = self.directory.gateways[conn]
-            self._roles.take_demand(hello.vm, msg.items)
+            self._roles.record_demand(hello.vm, msg.items)
             self.directory.quotas[hello.vm] = msg.quotas
-        elif isinstance(msg, messages.Heard):
-            self.directory.table.hear_digests(msg.digests, self._loop.time())
+        elif isinstance(msg, messages.HeartbeatNotice):
+            self.directory.table.record_heartbeat_digests(
+                msg.digests, self._loop.time()
+            )
         elif isinstance(msg, messages.Suspicions):
-            self.quarantine.take(msg)
-        elif isinstance(msg, messages.Fetch):
-            part = self.feed.part(msg)
+            self.quarantine.receive(msg)
+        elif isinstance(msg, messages.FetchRouting):
+            part = self.feed.chunk(msg)
             if part is not None:
                 conn.send(part)
 
     def _tell_changing(self) -> None:
         self.directory.tell_gateways(
-            messages.Changing(ids=self._roles.changing)
+            messages.ChangingEndpoints(ids=self._roles.changing)
         )
 
     def _on_other(
@@ -206,29 +208,31 @@
     ) -> None:
         if isinstance(msg, messages.Join):
             self._members.take_join(msg)
-        elif isinstance(msg, messages.Heard):
-            self.directory.table.hear_digests(msg.digests, self._loop.time())
-        elif isinstance(msg, messages.Endpoints):
+        elif isinstance(msg, messages.HeartbeatNotice):
+            self.directory.table.record_heartbeat_digests(
+                msg.digests, self._loop.time()
+            )
+        elif isinstance(msg, messages.EndpointUpdate):
             self._on_news(msg)
         elif isinstance(msg, messages.Suspicions):
-            self.quarantine.take(msg)
+            self.quarantine.receive(msg)
 
-    def _on_news(self, msg: messages.Endpoints) -> None:
-        changed = directory_mod.take_news(
+    def _on_news(self, msg: messages.EndpointUpdate) -> None:
+        changed = directory_mod.apply_update(
             self.directory.table, msg, self._loop.time()
         )
         for item in changed:
-            self.directory.tell_gateways(directory_mod.news(item))
+            self.directory.tell_gateways(directory_mod.update_for(item))
 
     def _spread(self, item: endpoints.Endpoint) -> None:
-        self.node.tell_all(directory_mod.news(item))
+        self.node.tell_all(directory_mod.update_for(item))
 
     # Routing.
 
     def _on_changes(self, changes: list[machine.Change] | None) -> None:
         self._take_routing()
         self.directory.tell_gateways(
-            messages.RoutingAt(version=self.feed.version)
+            messages.RoutingVersion(version=self.feed.version)
         )
 
     def _take_routing(self) -> None:
@@ -237,7 +241,7 @@
         if routing is None or routing.version <= self.feed.version:
             return
         try:
-            self.feed.put(self._reader.decode(routing.source))
+            self.feed.publish(self._reader.decode(routing.source))
         except exceptions.RoutingError as exc:
             # A newer software took it in: gateways keep what they have.
             logs.say(
@@ -259,7 +263,7 @@
             node=self.node,
             directory=self.directory,
             changing=self._roles.changing,
-            quarantine=self.quarantine.book,
+            quarantine=self.quarantine.table,
             now=self._loop.time(),
         )
         return 200, msgspec.json.encode(found).decode()
@@ -282,7 +286,7 @@
             if heard is not None:
                 self.directory.tell_gateways(heard)
                 self.node.tell_all(heard)
-            self.directory.ask_of_silent()
+            self.directory.query_silent()
             self.directory.forget_silent()
 
     @contextlib.asynccontextmanager
@@ -314,7 +318,7 @@
                     kinds=messages.FromAny,
                     accept=self._accept,
                     refused=_refused,
-                    patience=links.PATIENCE,
+                    patience=links.TIMEOUTS,
                 )
             )
             await stack.enter_async_context(
@@ -332,7 +336,7 @@
             await stack.enter_async_context(http.serving(host, int(port)))
             stack.enter_context(self.node.watched(self._on_changes))
             tasks.spawn(self.node.run(), vital=True)
-            tasks.keep(self.marks.run)
+            tasks.keep(self.commit_marks.run)
             tasks.keep(self.quarantine.run)
             tasks.keep(self._members.run)
             tasks.keep(self._forget)
--- a/rackpost/coordinator/quarantine_keeper.py
+++ b/rackpost/coordinator/quarantine_keeper.py
@@ -72,25 +72,25 @@
         tell_replicas: Tell,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self.book = quarantine.Quarantine()
+        self.table = quarantine.Quarantine()
         self._file = file
         self._tell_gateways = tell_gateways
         self._tell_replicas = tell_replicas
         self._changed = asyncio.Event()
         loaded = self._file.load()
-        self.book.take(loaded, self._loop.time())
+        self.table.take(loaded, self._loop.time())
         if loaded:
             logs.say(
                 logs.Part.COORDINATOR,
                 "Requests held back are known.",
                 suspicions=len(loaded),
-                held=len(self.book.held(self._loop.time())),
+                held=len(self.table.held(self._loop.time())),
             )
 
-    def take(self, msg: messages.Suspicions) -> None:
+    def receive(self, msg: messages.Suspicions) -> None:
         """Take what a gateway or another coordinator tells."""
-        for request in self.book.take(msg.items, self._loop.time()):
-            known = self.book.of(request)
+        for request in self.table.take(msg.items, self._loop.time()):
+            known = self.table.of(request)
             if len(known) < quarantine.LEAST_TOLD:
                 continue
             self._log(request)
@@ -104,13 +104,13 @@
             logs.Part.COORDINATOR,
             "Endpoints ended under a request.",
             fingerprint=request.hex(),
-            endpoints=self.book.ended(request),
-            held_s=round(self.book.left_s(request, now)),
+            endpoints=self.table.ended(request),
+            held_s=round(self.table.left_s(request, now)),
         )
 
     def for_newcomer(self) -> messages.Suspicions | None:
         """What a gateway that has just linked has to know, if anything."""
-        items = self.book.known(quarantine.LEAST_TOLD)
+        items = self.table.known(quarantine.LEAST_TOLD)
         return messages.Suspicions(items=items) if items else None
 
     def release(self, request: types.Fingerprint) -> bool:
@@ -119,10 +119,10 @@
         The other coordinators are told, in case that gateways are not linked
         to this one.
         """
-        if not self.book.is_held(request, self._loop.time()):
+        if not self.table.is_held(request, self._loop.time()):
             return False
-        msg = messages.Suspicions(items=self.book.cleared(request))
-        self.take(msg)
+        msg = messages.Suspicions(items=self.table.cleared(request))
+        self.receive(msg)
         self._tell_replicas(msg)
         return True
 
@@ -133,13 +133,15 @@
                 async with asyncio.timeout(_FORGET_S):
                     await self._changed.wait()
             except TimeoutError:
-                self.book.forget(self._loop.time())
+                self.table.forget(self._loop.time())
                 continue
             self._changed.clear()
             await self._save()
 
     async def _save(self) -> None:
-        msg = messages.Suspicions(items=self.book.known(quarantine.LEAST_TOLD))
+        msg = messages.Suspicions(
+            items=self.table.known(quarantine.LEAST_TOLD)
+        )
         try:
             await self._file.save(msg)
         except OSError as exc:
--- a/rackpost/coordinator/role_orders.py
+++ b/rackpost/coordinator/role_orders.py
@@ -23,7 +23,7 @@
 _CONNECTIONS = 2
 
 
-class Given(enum.Enum):
+class OrderOutcome(enum.Enum):
     """What became of an order."""
 
     TAKEN = "taken"
@@ -41,7 +41,7 @@
     body: bytes
 
 
-class OrderGiver:
+class OrderSender:
     """Gives endpoints orders in the name of one holder."""
 
     def __init__(
@@ -56,14 +56,14 @@
         """Close connections that are past their time."""
         self._pool.sweep()
 
-    async def give(
+    async def send_order(
         self,
         endpoint: endpoints.Endpoint,
         role: types.Role,
         fence: types.Fence,
         *,
         until: float,
-    ) -> Given:
+    ) -> OrderOutcome:
         """Order an endpoint to take a role, unless it is changing already.
 
         It takes no order whose fence is below that of an earlier one.  From
@@ -73,7 +73,7 @@
         try:
             report = await self._report(endpoint)
         except exceptions.Barred:
-            return Given.BARRED
+            return OrderOutcome.BARRED
         except (exceptions.ExchangeError, exceptions.CodecError) as exc:
             logs.say(
                 logs.Part.COORDINATOR,
@@ -81,7 +81,7 @@
                 endpoint=endpoint.id,
                 why=str(exc),
             )
-            return Given.REFUSED
+            return OrderOutcome.REFUSED
         if report is None or report.changing:
             return self._refused(endpoint)
         order = orders.change_role(
@@ -97,7 +97,7 @@
                 endpoint=endpoint.id,
                 fence=fence,
             )
-            return Given.REFUSED
+            return OrderOutcome.REFUSED
         return await self._send(endpoint, order)
 
     async def _report(
@@ -108,26 +108,30 @@
             return None
         return orders.decode_report(answer.body)
 
-    async def _send(self, endpoint: endpoints.Endpoint, order: bytes) -> Given:
+    async def _send(
+        self, endpoint: endpoints.Endpoint, order: bytes
+    ) -> OrderOutcome:
         try:
             answer = await self._call(
                 endpoint, b"POST", orders.ORDER_PATH, order
             )
         except exceptions.ExchangeError as exc:
-            return Given.UNKNOWN if exc.sent else self._refused(endpoint)
+            return (
+                OrderOutcome.UNKNOWN if exc.sent else self._refused(endpoint)
+            )
         if answer.status == 412:
-            return Given.FENCED
+            return OrderOutcome.FENCED
         if answer.status == 202:
-            return Given.TAKEN
+            return OrderOutcome.TAKEN
         if answer.status == 200:
-            return Given.HOLDS
+            return OrderOutcome.HOLDS
         return self._refused(endpoint)
 
-    def _refused(self, endpoint: endpoints.Endpoint) -> Given:
+    def _refused(self, endpoint: endpoints.Endpoint) -> OrderOutcome:
         """It was refused: for now, or with the wish for a back-off."""
         if self._eligible.bar(endpoint, self._loop.time()) is not None:
-            return Given.BARRED
-        return Given.REFUSED
+            return OrderOutcome.BARRED
+        return OrderOutcome.REFUSED
 
     def _note(self, endpoint: endpoints.Endpoint, head: message.Head) -> None:
         endpoint_notices.record_answer(
--- a/rackpost/coordinator/roles.py
+++ b/rackpost/coordinator/roles.py
@@ -85,7 +85,7 @@
         self._eligible = eligibility.Eligibility(
             table=directory.table, rng=random.Random()
         )
-        self._orders = role_orders.OrderGiver(
+        self._orders = role_orders.OrderSender(
             holder=vm, eligible=self._eligible
         )
         self._lease_s = lease_s
@@ -104,7 +104,7 @@
         """Endpoints that are changing their role."""
         return tuple(self._changes)
 
-    def take_demand(
+    def record_demand(
         self, vm: types.VmId, items: tuple[role_balance.Demand, ...]
     ) -> None:
         """A gateway tells what its clients ask for."""
@@ -231,7 +231,7 @@
         known = table.alive.get(change.endpoint.id)
         if known is None:
             done = "endpoint is gone"
-        elif table.is_reborn(change.endpoint):
+        elif table.has_restarted(change.endpoint):
             done = "endpoint has started again"
         elif known.role is change.role:
             done = "done"
@@ -275,7 +275,7 @@
         if not others or not await self._is_still_holder():
             return
         endpoint = others[0]
-        given = await self._orders.give(
+        given = await self._orders.send_order(
             endpoint, role, self._fence, until=until
         )
         logs.say(
@@ -297,20 +297,20 @@
         service: types.ServiceName,
         endpoint: endpoints.Endpoint,
         role: types.Role,
-        given: role_orders.Given,
+        given: role_orders.OrderOutcome,
     ) -> None:
         now = self._loop.time()
-        if given is role_orders.Given.FENCED:
+        if given is role_orders.OrderOutcome.FENCED:
             # Somebody else leads; this one learns it soon.
             self._may_order_at = now + _UNANSWERED_S
-        elif given is role_orders.Given.BARRED:
+        elif given is role_orders.OrderOutcome.BARRED:
             # The next round finds another one.
             return
-        elif given is role_orders.Given.REFUSED:
+        elif given is role_orders.OrderOutcome.REFUSED:
             self._not_before[service] = now + _PAUSE_S
         else:
             wait_s = _CHANGE_S
-            if given is role_orders.Given.UNKNOWN:
+            if given is role_orders.OrderOutcome.UNKNOWN:
                 wait_s = _UNANSWERED_S
             self._changes[endpoint.id] = _Change(
                 service=service,
--- a/rackpost/coordinator/routing_feed.py
+++ b/rackpost/coordinator/routing_feed.py
@@ -16,7 +16,7 @@
 
 # Bytes of one part: 26 ms of a gateway's link of 5 Mbit/s, for which
 # keepalives and requests wait behind it.
-PART_BYTES = 16 << 10
+CHUNK_BYTES = 16 << 10
 # Changes are remembered for gateways that are some versions behind: at most
 # so many, with so many routes in all (some 700 bytes of memory each).
 _MAX_STEPS = 64
@@ -61,10 +61,10 @@
             return frozenset()
         return frozenset(item.name for item in self._doc.services)
 
-    def put(self, doc: model.Document) -> None:
+    def publish(self, doc: model.Document) -> None:
         """A newer document is in force."""
         if self._doc is not None:
-            step = changes.between(self._doc, doc)
+            step = changes.diff(self._doc, doc)
             self._steps.append(step)
             self._routes += step.size
         self._doc = doc
@@ -72,7 +72,9 @@
         while self._routes > _MAX_ROUTES or len(self._steps) > _MAX_STEPS:
             self._routes -= self._steps.popleft().size
 
-    def part(self, asked: messages.Fetch) -> messages.RoutingPart | None:
+    def chunk(
+        self, asked: messages.FetchRouting
+    ) -> messages.RoutingChunk | None:
         """The part that a gateway asked for; None if there is nothing new.
 
         A transfer that another coordinator began goes on where it was; one
@@ -80,18 +82,18 @@
         """
         encoded = self._kept.get(asked.digest)
         if encoded is None:
-            if self._doc is None or asked.have >= self._doc.version:
+            if self._doc is None or asked.held_version >= self._doc.version:
                 return None
-            encoded = self._encoded(asked.have, self._doc)
+            encoded = self._encoded(asked.held_version, self._doc)
         offset = asked.offset if asked.digest == encoded.digest else 0
         self._kept.move_to_end(encoded.digest)
-        return messages.RoutingPart(
+        return messages.RoutingChunk(
             base=encoded.base,
             version=encoded.version,
             digest=encoded.digest,
             offset=offset,
             size=len(encoded.data),
-            data=encoded.data[offset : offset + PART_BYTES],
+            data=encoded.data[offset : offset + CHUNK_BYTES],
         )
 
     def _encoded(self, have: int, doc: model.Document) -> _Encoded:
@@ -112,10 +114,10 @@
         while steps and steps[0].base != have:
             del steps[0]
         if not steps:
-            return changes.whole(doc)
-        change = changes.joined(steps)
+            return changes.from_empty(doc)
+        change = changes.merge(steps)
         if change.size >= len(doc.routes) + len(doc.organisations):
-            return changes.whole(doc)
+            return changes.from_empty(doc)
         return change
 
     def _encode(self, change: changes.Change) -> _Encoded:
--- a/rackpost/decide/eligibility.py
+++ b/rackpost/decide/eligibility.py
@@ -82,7 +82,7 @@
     ) -> frozenset[Bar]:
         """Note what an answer says of later requests; which is news."""
         news = set()
-        if said.leaving and self._table.leaves(endpoint):
+        if said.leaving and self._table.record_leaving(endpoint):
             news.add(Bar.LEAVING)
         if said.backoff_s is not None:
             if self.backoffs.asked(endpoint, said.backoff_s, now):
--- a/rackpost/endpoint_notices.py
+++ b/rackpost/endpoint_notices.py
@@ -37,8 +37,8 @@
     """Note what an answer to a request for `requested` says; what is news."""
     said = eligibility.Said(
         backoff_s=headers.backoff_s(head),
-        leaving=headers.says_leaving(head),
-        turned_away=headers.is_turned_away(head),
+        leaving=headers.announces_leaving(head),
+        turned_away=headers.is_rejection(head),
     )
     endpoint = eligible.who_answered(requested, _answered_by(head))
     if endpoint is None:
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -210,7 +210,7 @@
     """Log where a request goes, and how old what that rests on is."""
     site = call.site
     use = site.loads.total(endpoint.id)
-    heard_at = site.table.heard_at.get(endpoint.id, now)
+    heard_at = site.table.last_heartbeat_at.get(endpoint.id, now)
     call.log(
         "Sent.",
         endpoint=endpoint.id,
@@ -283,7 +283,7 @@
         endpoint=endpoint.id,
         status=head.status,
         backoff_s=headers.backoff_s(head),
-        leaving=headers.says_leaving(head),
+        leaving=headers.announces_leaving(head),
     )
     note_replaced(call, endpoint, head)
     if head.status == 503:
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -106,7 +106,7 @@
             [
                 item
                 for item in message.end_to_end(req.headers)
-                if item[0] not in headers.OURS
+                if item[0] not in headers.GATEWAY_ONLY
             ]
         )
 
@@ -302,7 +302,7 @@
 
 def ask_for_key(responder: server.Responder) -> None:
     """Answer that a request shows no key that is anybody's."""
-    responder.whole(401, [headers.ASK_FOR_KEY], b"")
+    responder.whole(401, [headers.AUTH_CHALLENGE], b"")
 
 
 def refuse(
--- a/rackpost/gateway/callers.py
+++ b/rackpost/gateway/callers.py
@@ -55,7 +55,9 @@
         """What an endpoint is told: whose it is, and never the key."""
         if not self._routes.organisations.keys_required:
             return sent
-        kept = [item for item in sent if item[0] not in headers.OF_CALLERS]
+        kept = [
+            item for item in sent if item[0] not in headers.CALLER_KEY_HEADERS
+        ]
         if self.organisation is not None:
             name = self.organisation.name.encode()
             kept.append((headers.ORGANISATION, name))
--- a/rackpost/gateway/charge.py
+++ b/rackpost/gateway/charge.py
@@ -51,6 +51,6 @@
 
 def units(limit: model.Quota, req: message.Request) -> int:
     """What a request counts: its prompt and the most that it may answer."""
-    sizes = headers.tokens(req.headers)
-    tokens = None if sizes is None else sizes.prompt + sizes.most_out
+    sizes = headers.request_sizes(req.headers)
+    tokens = None if sizes is None else sizes.prompt + sizes.max_output
     return quota.units(limit, tokens)
--- a/rackpost/gateway/control_links.py
+++ b/rackpost/gateway/control_links.py
@@ -40,7 +40,7 @@
             part=logs.Part.GATEWAY,
             port=port + links.LINKS_PORT,
             kinds=messages.ToGateway,
-            use=self._use,
+            on_link=self._use,
         )
         self._seeds: set[str] = set()
         self._told: dict[str, messages.Peers] = {}
@@ -56,7 +56,7 @@
         self._seeds = {links.host_of(item) for item in host.seeds}
         self._set_hosts()
 
-    def _on_changing(self, host: str, msg: messages.Changing) -> None:
+    def _on_changing(self, host: str, msg: messages.ChangingEndpoints) -> None:
         # Only the leader has any; what a former one said is dropped with
         # its next word or its link.
         self._changing[host] = msg.ids
@@ -101,7 +101,7 @@
         linked = [
             told
             for host, told in self._told.items()
-            if host in self._dialler.up
+            if host in self._dialler.linked_hosts
         ]
         return linked or list(self._told.values())
 
@@ -116,13 +116,15 @@
             receive=lambda msg: self._on_message(host, conn, msg),
             closed=lambda: self._closed(host, conn),
         )
-        conn.send(messages.GatewayHello(vm=self._host.vm, loads=self._loads))
+        conn.send(
+            messages.GatewayHello(vm=self._host.vm, load_address=self._loads)
+        )
 
     def _closed(self, host: str, conn: websocket.WebSocketChannel) -> None:
         self._linked.discard(conn)
         self._updates.lost(conn)
         if self._changing.pop(host, None):
-            self._on_changing(host, messages.Changing(ids=()))
+            self._on_changing(host, messages.ChangingEndpoints(ids=()))
         # What it told of the others is kept: they may outlive it.
 
     def _on_message(
@@ -131,21 +133,23 @@
         conn: websocket.WebSocketChannel,
         msg: msgspec.Struct,
     ) -> None:
-        if isinstance(msg, messages.RoutingAt):
+        if isinstance(msg, messages.RoutingVersion):
             if conn not in self._linked:
                 self._on_linked(conn)
             self._updates.told(conn, host, msg.version)
-        elif isinstance(msg, messages.RoutingPart):
+        elif isinstance(msg, messages.RoutingChunk):
             self._updates.take(conn, msg)
-        elif isinstance(msg, messages.Endpoints):
+        elif isinstance(msg, messages.EndpointUpdate):
             self._on_endpoints(host, conn, msg)
-        elif isinstance(msg, messages.Heard):
-            self._site.table.hear_digests(msg.digests, self._loop.time())
-        elif isinstance(msg, messages.Silent):
+        elif isinstance(msg, messages.HeartbeatNotice):
+            self._site.table.record_heartbeat_digests(
+                msg.digests, self._loop.time()
+            )
+        elif isinstance(msg, messages.SilenceQuery):
             self._on_silent(conn, msg)
         elif isinstance(msg, messages.Suspicions):
             self._site.suspects.receive(msg.items, self._loop.time())
-        elif isinstance(msg, messages.Changing):
+        elif isinstance(msg, messages.ChangingEndpoints):
             self._on_changing(host, msg)
         elif isinstance(msg, messages.Peers):
             self._told[host] = msg
@@ -153,28 +157,28 @@
             self._set_gateways()
 
     def _on_silent(
-        self, conn: websocket.WebSocketChannel, msg: messages.Silent
+        self, conn: websocket.WebSocketChannel, msg: messages.SilenceQuery
     ) -> None:
         """Tell which of them another coordinator has heard of."""
         since = self._loop.time() - _FRESH_S
-        known = set(self._site.table.heard_since(since))
+        known = set(self._site.table.with_heartbeat_since(since))
         found = tuple(key for key in msg.ids if key in known)
         if found:
-            conn.send(messages.Heard(digests=digests.pack(found)))
+            conn.send(messages.HeartbeatNotice(digests=digests.pack(found)))
 
     def _on_endpoints(
         self,
         host: str,
         conn: websocket.WebSocketChannel,
-        msg: messages.Endpoints,
+        msg: messages.EndpointUpdate,
     ) -> None:
         table = self._site.table
         before = {item.id: table.alive.get(item.id) for item in msg.alive}
-        changed = directory.take_news(table, msg, self._loop.time())
+        changed = directory.apply_update(table, msg, self._loop.time())
         for item in changed:
             old = before.get(item.id)
             if item.state is endpoints.EndpointState.GONE or (
-                old is not None and table.is_reborn(old)
+                old is not None and table.has_restarted(old)
             ):
                 # What it was like before says nothing of its next life.
                 self._site.health.forget(item.id)
@@ -204,7 +208,7 @@
                 site.host.vm, site.gateways, item.id
             ):
                 continue
-            self._tell_all(directory.news(item), but=source)
+            self._tell_all(directory.update_for(item), but=source)
 
     def _set_gateways(self) -> None:
         self._site.set_gateways(
--- a/rackpost/gateway/crash_tracker.py
+++ b/rackpost/gateway/crash_tracker.py
@@ -128,7 +128,9 @@
     def _looked_at(self, item: _Watched, now: float) -> _Watched | None:
         if not self._table.is_current(item.endpoint):
             return None
-        heard_at = self._table.heard_at.get(item.endpoint.id, item.broke_at)
+        heard_at = self._table.last_heartbeat_at.get(
+            item.endpoint.id, item.broke_at
+        )
         if heard_at < item.broke_at + _SURELY_LATER_S:
             return item if now - item.broke_at < _WATCHED_S else None
         if item.heard_at is None:
--- a/rackpost/gateway/document_fetch.py
+++ b/rackpost/gateway/document_fetch.py
@@ -32,7 +32,7 @@
     """What to send to whom; `is_retry` if the last one asked was silent."""
 
     peer: H
-    msg: messages.Fetch
+    msg: messages.FetchRouting
     is_retry: bool
 
 
@@ -47,7 +47,7 @@
 class _Partial:
     """What has come of a transfer."""
 
-    def __init__(self, *, part: messages.RoutingPart, began: float) -> None:
+    def __init__(self, *, part: messages.RoutingChunk, began: float) -> None:
         self.digest = part.digest
         self.size = part.size
         self.began = began
@@ -133,18 +133,18 @@
         others = [key for key in found if key != silent]
         return self._rng.choice(others or found)
 
-    def _fetch(self, have: int) -> messages.Fetch:
+    def _fetch(self, have: int) -> messages.FetchRouting:
         base = 0 if have == self._spoilt else have
         if self._partial is None:
-            return messages.Fetch(have=base)
-        return messages.Fetch(
-            have=base,
+            return messages.FetchRouting(held_version=base)
+        return messages.FetchRouting(
+            held_version=base,
             digest=self._partial.digest,
             offset=len(self._partial.data),
         )
 
     def receive(
-        self, holder: H, part: messages.RoutingPart, now: float
+        self, holder: H, part: messages.RoutingChunk, now: float
     ) -> Transfer | None:
         """Take a part; the whole once all of it is there.
 
@@ -169,7 +169,7 @@
         self._spoilt = have
         self._rest_until = now + _REST_S
 
-    def _is_next(self, holder: H, part: messages.RoutingPart) -> bool:
+    def _is_next(self, holder: H, part: messages.RoutingChunk) -> bool:
         partial = self._partial
         if partial is not None and part.digest == partial.digest:
             return part.offset == len(partial.data)
--- a/rackpost/gateway/generate.py
+++ b/rackpost/gateway/generate.py
@@ -39,11 +39,13 @@
     def __init__(self, *, call: call_mod.Call, engine: model.Engine) -> None:
         self._call = call
         self._engine = engine
-        sizes = headers.tokens(call.req.headers)
+        sizes = headers.request_sizes(call.req.headers)
         self._prompt = sizes.prompt if sizes else 0
-        self._most = sizes.most_out if sizes else 0
-        self._guess = min(sizes.guess_out, sizes.most_out) if sizes else 0
-        part = headers.own_part(call.req.headers)
+        self._most = sizes.max_output if sizes else 0
+        self._guess = (
+            min(sizes.expected_output, sizes.max_output) if sizes else 0
+        )
+        part = headers.own_prompt_part(call.req.headers)
         site = call.site
         book = site.refused
         self._key = book.key(call.route.name, part, call.req.body)
--- a/rackpost/gateway/load_exchange.py
+++ b/rackpost/gateway/load_exchange.py
@@ -59,29 +59,31 @@
                 logs.Part.GATEWAY, "Load figures unreadable.", why=str(exc)
             )
             return
-        if isinstance(msg, messages.Loads):
+        if isinstance(msg, messages.GatewayLoad):
             self._take(msg, self._site.loop_time())
         else:
             self._site.grants.receive(msg, address.Address(*addr[:2]))
 
-    def _take(self, msg: messages.Loads, now: float) -> None:
+    def _take(self, msg: messages.GatewayLoad, now: float) -> None:
         site = self._site
         site.loads.take(
             msg.vm,
-            msg.life,
-            msg.number,
-            msg.uses,
+            msg.incarnation,
+            msg.sequence,
+            msg.loads,
             now,
-            first=msg.first,
+            first=msg.waiting,
         )
-        site.add_gateway(messages.GatewayAddress(vm=msg.vm, loads=msg.loads))
-        site.refused.take(msg.refused, now)
-        if site.quotas.take(msg.vm, msg.life, msg.quotas, now):
+        site.add_gateway(
+            messages.GatewayAddress(vm=msg.vm, load_address=msg.load_address)
+        )
+        site.refused.take(msg.refused_keys, now)
+        if site.quotas.take(msg.vm, msg.incarnation, msg.quotas, now):
             # It should know soon what has been spent.
             site.loads_changed.set()
-        for endpoint in msg.full:
+        for endpoint in msg.rejecting:
             site.health.told_full(endpoint, now)
-        for endpoint in msg.broken:
+        for endpoint in msg.failed:
             site.health.told(endpoint, now)
         for endpoint, left_s in msg.backoffs.items():
             site.health.told_backoff(endpoint, left_s, now)
@@ -106,7 +108,7 @@
         data = codec.encode(self._figures(self._site.loop_time()))
         for item in self._tellable():
             if self._transport is not None:
-                self._transport.sendto(data, address.split(item.loads))
+                self._transport.sendto(data, address.split(item.load_address))
 
     def _tellable(self) -> list[messages.GatewayAddress]:
         """The other gateways that choose among the same endpoints."""
@@ -118,18 +120,18 @@
             if item.vm != me and group.has(item.vm)
         ]
 
-    def _figures(self, now: float) -> messages.Loads:
+    def _figures(self, now: float) -> messages.GatewayLoad:
         site = self._site
-        return messages.Loads(
+        return messages.GatewayLoad(
             vm=site.host.vm,
-            loads=self._address,
-            life=self._life,
-            number=self._number,
-            uses=site.loads.own,
-            broken=site.health.broken(now),
-            full=site.health.full(now),
-            first=site.room.most_urgent_waiters(now),
-            refused=site.refused.recent(now),
+            load_address=self._address,
+            incarnation=self._life,
+            sequence=self._number,
+            loads=site.loads.own,
+            failed=site.health.broken(now),
+            rejecting=site.health.full(now),
+            waiting=site.room.most_urgent_waiters(now),
+            refused_keys=site.refused.recent(now),
             quotas=site.quotas.tell(now),
             backoffs=site.eligible.backoffs_left(now),
             named_rates=site.eligible.rates.tell(now),
--- a/rackpost/gateway/prefill.py
+++ b/rackpost/gateway/prefill.py
@@ -55,7 +55,7 @@
         age = self._call.site.loop_time() - self._read_at
         fresh = age < _FRESH_SHARE * engine.handle_ttl_s
         # A reader that has started again since holds nothing of it.
-        return fresh and not self._call.site.table.is_reborn(self._reader)
+        return fresh and not self._call.site.table.has_restarted(self._reader)
 
     def headers(self) -> list[message.Header]:
         """What tells a decode endpoint where the KV cache is."""
@@ -265,7 +265,7 @@
             endpoint=endpoint.id,
             status=reply.head.status,
             backoff_s=headers.backoff_s(reply.head),
-            leaving=headers.says_leaving(reply.head),
+            leaving=headers.announces_leaving(reply.head),
         )
         return None
     return wire.decode(body)
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -41,7 +41,9 @@
 _NUMBER_BITS = 32
 
 Send = Callable[[bytes, address.Address], None]
-Message = Union[messages.AskGrant, messages.GrantAnswer, messages.GiveBack]
+Message = Union[
+    messages.GrantRequest, messages.GrantAnswer, messages.ReturnGrant
+]
 
 
 class _Asked(enum.Enum):
@@ -205,7 +207,7 @@
     ) -> rate_grants.Verdict:
         number = next(self._numbers)
         rate = self._rate(endpoint.incarnation)
-        msg = messages.AskGrant(number=number, wish=wish, rate=rate)
+        msg = messages.GrantRequest(number=number, applicant=wish, rate=rate)
         answer = self._loop.create_future()
         self._asked[number] = answer
         try:
@@ -220,12 +222,12 @@
         finally:
             del self._asked[number]
         self.receive_rate(found.rate, self._loop.time())
-        return found.verdict
+        return found.decision
 
     def _send_to(self, vm: types.VmId, msg: Message) -> None:
         known = self._gateways.get(vm)
         if known is not None:
-            self.send(codec.encode(msg), address.split(known.loads))
+            self.send(codec.encode(msg), address.split(known.load_address))
 
     def _rate(self, key: endpoints.Incarnation) -> endpoint_rates.Told:
         """What is known here of a rate."""
@@ -233,7 +235,7 @@
 
     def receive(self, msg: Message, sender: address.Address) -> None:
         """A message of another gateway."""
-        if isinstance(msg, messages.AskGrant):
+        if isinstance(msg, messages.GrantRequest):
             self._answer(msg, sender)
         elif isinstance(msg, messages.GrantAnswer):
             self._take_answer(msg)
@@ -241,13 +243,15 @@
             key = endpoints.Incarnation(msg.endpoint, msg.born)
             self._book.give_back(key)
 
-    def _answer(self, msg: messages.AskGrant, sender: address.Address) -> None:
+    def _answer(
+        self, msg: messages.GrantRequest, sender: address.Address
+    ) -> None:
         now = self._loop.time()
         self.receive_rate(msg.rate, now)
         key = msg.rate.incarnation
-        verdict = self._decide(key, msg.wish, now)
+        verdict = self._decide(key, msg.applicant, now)
         answer = messages.GrantAnswer(
-            number=msg.number, verdict=verdict, rate=self._rate(key)
+            number=msg.number, decision=verdict, rate=self._rate(key)
         )
         self.send(codec.encode(answer), sender)
 
@@ -285,7 +289,7 @@
             self._book.give_back(key)
             return
         self._send_to(
-            grant.owner, messages.GiveBack(endpoint=key.id, born=key.born)
+            grant.owner, messages.ReturnGrant(endpoint=key.id, born=key.born)
         )
 
     def _owner(self, key: types.EndpointId, now: float) -> types.VmId:
--- a/rackpost/gateway/routing_updates.py
+++ b/rackpost/gateway/routing_updates.py
@@ -70,7 +70,7 @@
             logs.Part.GATEWAY,
             "Routing document asked for.",
             version=self._fetch.newest,
-            have=ask.msg.have,
+            have=ask.msg.held_version,
             offset=ask.msg.offset,
             peer=self._hosts[ask.peer],
             again=ask.is_retry,
@@ -83,7 +83,7 @@
         if self._fetch.wake_at is not None:
             self._timer = self._loop.call_at(self._fetch.wake_at, self._ask)
 
-    def take(self, conn: channel.Channel, part: messages.RoutingPart) -> None:
+    def take(self, conn: channel.Channel, part: messages.RoutingChunk) -> None:
         """A part has come over a link."""
         arrived = self._fetch.receive(conn, part, self._loop.time())
         if arrived is not None:
@@ -91,7 +91,7 @@
         self._ask()
 
     def _on_change(
-        self, part: messages.RoutingPart, arrived: document_fetch.Transfer
+        self, part: messages.RoutingChunk, arrived: document_fetch.Transfer
     ) -> None:
         before = self._site.version
         try:
--- a/rackpost/gateway/site.py
+++ b/rackpost/gateway/site.py
@@ -124,7 +124,7 @@
     def _limit_of(self, name: types.OrganisationName) -> model.Quota | None:
         if self.routes is None:
             return None
-        item = self.routes.organisations.named(name)
+        item = self.routes.organisations.by_name(name)
         return None if item is None else item.quota
 
     def loop_time(self) -> float:
--- a/rackpost/platform/documents.py
+++ b/rackpost/platform/documents.py
@@ -94,7 +94,7 @@
 _TOKENS_UNIT = "token_stream"
 
 
-class Reader:
+class IncrementalDecoder:
     """Decodes documents, each of which is mostly like the last.
 
     A route that is written as in the last document is that document's own,
@@ -151,7 +151,7 @@
 
 def decode(text: bytes) -> model.Document:
     """A checked document; RoutingError says what is wrong with it."""
-    return Reader().decode(text)
+    return IncrementalDecoder().decode(text)
 
 
 def _route(wire: _Route) -> model.Route:
--- a/rackpost/platform/headers.py
+++ b/rackpost/platform/headers.py
@@ -46,7 +46,7 @@
 # Set by us alone, whatever a client sent: all that tells an endpoint how
 # to run a request.  What a client pins or reserves there cannot give way,
 # so that endpoints hold less than the gateways' figures say.
-OURS = frozenset(
+GATEWAY_ONLY = frozenset(
     (
         DEADLINE_MS,
         ENDPOINT_ID,
@@ -62,17 +62,17 @@
 )
 
 # Where callers have keys: the key itself, and whose it is.
-OF_CALLERS = frozenset((_KEY, ORGANISATION))
+CALLER_KEY_HEADERS = frozenset((_KEY, ORGANISATION))
 # Asks a client that has shown no key, or an unknown one, for one.
-ASK_FOR_KEY = (b"www-authenticate", b"Bearer")
+AUTH_CHALLENGE = (b"www-authenticate", b"Bearer")
 
 
-class Tokens(NamedTuple):
+class RequestSizes(NamedTuple):
     """Sizes of a request: its prompt, and its answer as far as told."""
 
     prompt: int
-    most_out: int
-    guess_out: int
+    max_output: int
+    expected_output: int
 
 
 def whole(value: bytes | None) -> int | None:
@@ -82,7 +82,7 @@
     return int(value)
 
 
-def tokens(headers: Sequence[message.Header]) -> Tokens | None:
+def request_sizes(headers: Sequence[message.Header]) -> RequestSizes | None:
     """Sizes of a model request; None where it names none."""
     usage = message.find(headers, _TOKENS)
     if usage is None:
@@ -91,10 +91,12 @@
     prompt = whole(parts[0]) or 0
     most = (whole(parts[1]) or 0) if len(parts) > 1 else 0
     guess = whole(message.find(headers, _LENGTH_GUESS))
-    return Tokens(prompt=prompt, most_out=most, guess_out=guess or most)
+    return RequestSizes(
+        prompt=prompt, max_output=most, expected_output=guess or most
+    )
 
 
-def is_turned_away(head: message.Head) -> bool:
+def is_rejection(head: message.Head) -> bool:
     """Whether an endpoint did not take the request for want of room."""
     return head.status in _TURNED_AWAY
 
@@ -104,7 +106,7 @@
 
     In seconds; None where it asks for nothing that can be read.
     """
-    if not is_turned_away(head):
+    if not is_rejection(head):
         return None
     return retry_after.seconds(
         message.find(head.headers, _RETRY_AFTER),
@@ -112,7 +114,7 @@
     )
 
 
-def says_leaving(head: message.Head) -> bool:
+def announces_leaving(head: message.Head) -> bool:
     """Whether an endpoint's answer says that it is leaving."""
     return message.find(head.headers, _LEAVING) == b"1"
 
@@ -128,7 +130,7 @@
     return endpoint_rates.Named(per_s=float(number))
 
 
-def own_part(headers: Sequence[message.Header]) -> bytes:
+def own_prompt_part(headers: Sequence[message.Header]) -> bytes:
     """Id of the prompt's last part, which is the request's own; or b""."""
     parts = message.find(headers, _PROMPT_PARTS) or b""
     return parts.rpartition(b",")[2].partition(b":")[0].strip()
--- a/rackpost/routing/changes.py
+++ b/rackpost/routing/changes.py
@@ -65,7 +65,7 @@
     return {item.name: item for item in organisations}
 
 
-def whole(doc: model.Document) -> Change:
+def from_empty(doc: model.Document) -> Change:
     """From no document to this one."""
     return Change(
         base=0,
@@ -81,7 +81,7 @@
     )
 
 
-def between(old: model.Document, new: model.Document) -> Change:
+def diff(old: model.Document, new: model.Document) -> Change:
     """From one document to another."""
     # Documents that are read one after the other share what is the same.
     kept = {id(route) for route in old.routes}
@@ -108,7 +108,7 @@
     )
 
 
-def joined(steps: Sequence[Change]) -> Change:
+def merge(steps: Sequence[Change]) -> Change:
     """One change in place of several, each of which follows the last."""
     put: dict[model.RouteKey, model.Route] = {}
     removed: set[model.RouteKey] = set()
--- a/rackpost/routing/endpoints.py
+++ b/rackpost/routing/endpoints.py
@@ -70,7 +70,7 @@
 
     def __init__(self) -> None:
         self.alive: dict[types.EndpointId, Endpoint] = {}
-        self.heard_at: dict[types.EndpointId, float] = {}
+        self.last_heartbeat_at: dict[types.EndpointId, float] = {}
         self._by_digest: dict[bytes, set[types.EndpointId]] = {}
         # The life that has ended, of each endpoint.
         self._ended: dict[types.EndpointId, int] = {}
@@ -82,7 +82,7 @@
         # later heartbeat brings them back.
         self._dropped: dict[types.EndpointId, Endpoint] = {}
 
-    def take(self, new: Endpoint, now: float) -> bool:
+    def update(self, new: Endpoint, now: float) -> bool:
         """Take news of an endpoint; whether anything but its age changed.
 
         News older than what is known is dropped, and an ended life stays
@@ -102,19 +102,19 @@
         if old.address != new.address:
             self._drop_others_at(new)
         self.alive[new.id] = new
-        self.heard_at[new.id] = now
+        self.last_heartbeat_at[new.id] = now
         return _differs(old, new)
 
     def _has_ended(self, new: Endpoint) -> bool:
         ended = self._ended.get(new.id)
         return ended is not None and not _is_later(ended, new.born)
 
-    def leaves(self, endpoint: Endpoint) -> bool:
+    def record_leaving(self, endpoint: Endpoint) -> bool:
         """An answer of it says that it leaves; whether that is news.
 
         That is its last word in this life, whatever comes later.
         """
-        if self._has_ended(endpoint) or self.is_reborn(endpoint):
+        if self._has_ended(endpoint) or self.has_restarted(endpoint):
             return False
         if self._leaving.get(endpoint.id) == endpoint.born:
             return False
@@ -138,13 +138,13 @@
         self._ended.pop(new.id, None)
         self._drop_others_at(new)
         self.alive[new.id] = new
-        self.heard_at[new.id] = now
+        self.last_heartbeat_at[new.id] = now
         self._by_digest.setdefault(digests.digest(new.id), set()).add(new.id)
         return True
 
     def _remove(self, key: types.EndpointId) -> Endpoint | None:
         """Know an endpoint no more; what was known of it, if anything."""
-        self.heard_at.pop(key, None)
+        self.last_heartbeat_at.pop(key, None)
         short = digests.digest(key)
         alike = self._by_digest.get(short, set())
         alike.discard(key)
@@ -166,7 +166,7 @@
         known = self.alive.get(endpoint.id)
         return known is not None and known.born == endpoint.born
 
-    def is_reborn(self, endpoint: Endpoint) -> bool:
+    def has_restarted(self, endpoint: Endpoint) -> bool:
         """Whether it has started again since it was chosen.
 
         One that is only silent, or has said that it leaves, has not.
@@ -191,33 +191,43 @@
             del self._dropped[next(iter(self._dropped))]
         return True
 
-    def hear(self, keys: Iterable[types.EndpointId], now: float) -> None:
+    def record_heartbeats(
+        self, keys: Iterable[types.EndpointId], now: float
+    ) -> None:
         """Some endpoints have sent a heartbeat."""
         for key in keys:
-            if key in self.heard_at:
-                self.heard_at[key] = now
+            if key in self.last_heartbeat_at:
+                self.last_heartbeat_at[key] = now
 
-    def hear_digests(self, data: bytes, now: float) -> None:
-        """As `hear`, of endpoints told by their digests."""
+    def record_heartbeat_digests(self, data: bytes, now: float) -> None:
+        """As `record_heartbeats`, of endpoints told by their digests."""
         for short in digests.unpack(data):
-            self.hear(self._by_digest.get(short, ()), now)
+            self.record_heartbeats(self._by_digest.get(short, ()), now)
 
-    def heard_since(self, since: float) -> tuple[types.EndpointId, ...]:
+    def with_heartbeat_since(
+        self, since: float
+    ) -> tuple[types.EndpointId, ...]:
         """Endpoints heard of after a clock reading."""
-        return tuple(key for key, at in self.heard_at.items() if at > since)
+        return tuple(
+            key for key, at in self.last_heartbeat_at.items() if at > since
+        )
 
     def silent(self, before: float) -> list[types.EndpointId]:
         """Endpoints last heard of before a clock reading."""
-        return [key for key, at in self.heard_at.items() if at < before]
+        return [
+            key for key, at in self.last_heartbeat_at.items() if at < before
+        ]
 
     def is_silent(self, key: types.EndpointId, before: float) -> bool:
         """Whether an endpoint was last heard of before a clock reading."""
-        return self.heard_at.get(key, before) < before
+        return self.last_heartbeat_at.get(key, before) < before
 
     def forget_silent(self, before: float) -> list[Endpoint]:
         """Drop, and return, endpoints last heard of before a reading."""
         silent = [
-            self.alive[key] for key, at in self.heard_at.items() if at < before
+            self.alive[key]
+            for key, at in self.last_heartbeat_at.items()
+            if at < before
         ]
         for item in silent:
             self._remove(item.id)
--- a/rackpost/routing/match.py
+++ b/rackpost/routing/match.py
@@ -85,7 +85,7 @@
                 f"a change of version {change.base} does not fit "
                 f"{self.version}"
             )
-        callers = self.organisations.after(change)
+        callers = self.organisations.with_change(change)
         if change.base == 0:
             self._replace(change)
         else:
--- a/rackpost/routing/organisations.py
+++ b/rackpost/routing/organisations.py
@@ -30,7 +30,7 @@
         """How many organisations there are."""
         return len(self._organisations)
 
-    def after(self, change: changes.Change) -> "OrganisationTable":
+    def with_change(self, change: changes.Change) -> "OrganisationTable":
         """The table of a change's version.
 
         Raises RoutingError where that has not as many as it should.
@@ -56,6 +56,8 @@
         """Whose key it is; None if it is nobody's."""
         return None if key is None else self._by_key.get(key)
 
-    def named(self, name: types.OrganisationName) -> model.Organisation | None:
+    def by_name(
+        self, name: types.OrganisationName
+    ) -> model.Organisation | None:
         """The organisation of a name, if there is one."""
         return self._organisations.get(name)
--- a/rackpost/site_overview.py
+++ b/rackpost/site_overview.py
@@ -142,7 +142,7 @@
     return _table(head, rows)
 
 
-def held(found: overview.Overview) -> str:
+def quarantined(found: overview.Overview) -> str:
     """Requests under which endpoints ended, and for how much longer."""
     rows = [
         (item.fingerprint, ", ".join(item.endpoints), f"{item.left_s:g}")
--- a/rackpost/testing/fleet.py
+++ b/rackpost/testing/fleet.py
@@ -221,7 +221,7 @@
         rng = random.Random(number)
         table = endpoints.EndpointTable()
         for item in _endpoints(spec):
-            table.take(item, 0.0)
+            table.update(item, 0.0)
         chooser = endpoint_choice.Chooser(
             candidates=candidates.Candidates(
                 table=table,
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -210,7 +210,7 @@
         self._world = world
         self._vm = vm
         table = endpoints.EndpointTable()
-        table.take(ENDPOINT, 0.0)
+        table.update(ENDPOINT, 0.0)
         self._eligible = eligibility.Eligibility(table=table, rng=world.rng)
         self._eligible.rates.answered(
             ENDPOINT, endpoint_rates.Named(per_s=world.spec.rate), world.now()
@@ -227,7 +227,7 @@
             rng=world.rng,
         )
         self._grants.set_gateways(
-            messages.GatewayAddress(vm=name, loads=f"{name}:1")
+            messages.GatewayAddress(vm=name, load_address=f"{name}:1")
             for name in world.present()
         )
         self._grants.send = self._send
@@ -253,21 +253,21 @@
     def take(self, data: bytes, sender: address.Address) -> None:
         """A figure of another gateway, or a message on a grant."""
         msg = _DECODER.decode(data)
-        if isinstance(msg, messages.Loads):
+        if isinstance(msg, messages.GatewayLoad):
             now = self._world.now()
-            self._loads.take(msg.vm, msg.life, msg.number, {}, now)
+            self._loads.take(msg.vm, msg.incarnation, msg.sequence, {}, now)
         else:
             self._grants.receive(msg, sender)
 
     def tell(self) -> None:
         """Tell the others that this one is there."""
         self._number += 1
-        msg = messages.Loads(
+        msg = messages.GatewayLoad(
             vm=self._vm,
-            loads=f"{self._vm}:1",
-            life=self._life,
-            number=self._number,
-            uses={},
+            load_address=f"{self._vm}:1",
+            incarnation=self._life,
+            sequence=self._number,
+            loads={},
         )
         data = codec.encode(msg)
         for name in self._world.names:
--- a/tests/crashing_site.py
+++ b/tests/crashing_site.py
@@ -46,8 +46,8 @@
         self._running.add(responder)
         try:
             if req.body.startswith(b"slow") and not is_read:
-                await asyncio.sleep(platform_site.MOST_S)
-            await self.usual(req, responder)
+                await asyncio.sleep(platform_site.TIMEOUT_S)
+            await self.default_answer(req, responder)
         finally:
             self._running.discard(responder)
 
@@ -141,7 +141,7 @@
         try:
             for number in self.core:
                 await self.start(number, first=first)
-            await self.operator.put_until_taken(self.core[-1], _document())
+            await self.operator.put_until_accepted(self.core[-1], _document())
             for number in GATEWAYS:
                 await self.start(number)
             await self.is_known()
@@ -169,7 +169,10 @@
     async def is_known(self) -> None:
         """Every endpoint, in its present life, at every gateway."""
         for endpoint in self.endpoints:
-            assert await self.operator.beat(self.core[-1], endpoint) == 200
+            assert (
+                await self.operator.send_heartbeat(self.core[-1], endpoint)
+                == 200
+            )
         idents = {item.ident for item in self.endpoints}
         for running in self.gateways.values():
             site = running.site
@@ -183,7 +186,7 @@
         return asyncio.get_running_loop().time()
 
     def core_books(self) -> list[quarantine.Quarantine]:
-        return [one.quarantine.book for one in self.coordinators.values()]
+        return [one.quarantine.table for one in self.coordinators.values()]
 
     async def runs(self, number: int) -> None:
         """Wait until so many requests run at the endpoints."""
--- a/tests/endpoint_soak.py
+++ b/tests/endpoint_soak.py
@@ -81,7 +81,7 @@
                 # One that comes while the coordinator ends is lost.
                 with contextlib.suppress(aiohttp.ClientError):
                     if CORE not in self.down:
-                        await self.site.operator.beat(CORE, one)
+                        await self.site.operator.send_heartbeat(CORE, one)
             await asyncio.sleep(_BEAT_S)
 
     async def _change(self, group: asyncio.TaskGroup, until: float) -> None:
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -28,7 +28,7 @@
 DATA_CENTRE = "hall-nord"
 
 # A fault fails a test after this long in place of hanging it, in seconds.
-MOST_S = 30.0
+TIMEOUT_S = 30.0
 # Below the ports that systems give to outgoing connections; a site uses 13
 # ports on each of its loopback addresses.
 _FIRST_BASE = 10_000
@@ -155,7 +155,7 @@
 Answer = Callable[[message.Request, server.Responder], Awaitable[None]]
 
 
-def echoed(req: message.Request) -> list[message.Header]:
+def vouching_headers(req: message.Request) -> list[message.Header]:
     """What an endpoint must put on each answer that it vouches for."""
     ident = message.find(req.headers, b"x-request-id") or b""
     return [(b"x-request-id", ident), (b"x-response-seal", b"seal")]
@@ -169,16 +169,16 @@
         self.service = service
         self.stage = stage
         self.sequence = 0
-        self.seen: list[message.Request] = []
+        self.requests: list[message.Request] = []
         self.address = ""
-        self.answer: Answer = self.usual
+        self.answer: Answer = self.default_answer
         # What it adds to the headers of its usual answers.
-        self.says: list[message.Header] = []
+        self.extra_headers: list[message.Header] = []
 
     def _headers(self, req: message.Request) -> list[message.Header]:
-        return echoed(req) + self.says
+        return vouching_headers(req) + self.extra_headers
 
-    async def usual(
+    async def default_answer(
         self, req: message.Request, responder: server.Responder
     ) -> None:
         if message.find(req.headers, b"x-serving-stage") == b"prefill":
@@ -205,7 +205,7 @@
     async def _handle(
         self, req: message.Request, responder: server.Responder
     ) -> None:
-        self.seen.append(req)
+        self.requests.append(req)
         expected = message.find(req.headers, b"x-expect-instance")
         if expected not in (None, self.ident.encode()):
             responder.whole(421, [], b"")
@@ -300,8 +300,8 @@
         async with self.http.put(url, data=json.dumps(doc)) as resp:
             return resp.status
 
-    async def put_until_taken(self, number: int, doc: object) -> None:
-        async with asyncio.timeout(MOST_S):
+    async def put_until_accepted(self, number: int, doc: object) -> None:
+        async with asyncio.timeout(TIMEOUT_S):
             while await self.put(number, doc) != 200:
                 await asyncio.sleep(0.05)
 
@@ -310,7 +310,7 @@
         async with self.http.get(url) as resp:
             return resp.status, json.loads(await resp.read())
 
-    async def beat(
+    async def send_heartbeat(
         self, number: int, endpoint: Endpoint, state: str = "ready"
     ) -> int:
         url = self.plan.control_url(number)
@@ -326,9 +326,11 @@
             return resp.status
 
 
-async def until(what: Callable[[], bool], most_s: float = MOST_S) -> None:
+async def until(
+    what: Callable[[], bool], timeout_s: float = TIMEOUT_S
+) -> None:
     """Wait until something holds; fails the test if it never does."""
-    async with asyncio.timeout(most_s):
+    async with asyncio.timeout(timeout_s):
         while not what():
             await asyncio.sleep(0.01)
 
@@ -381,9 +383,9 @@
             await enter(endpoint.running())
         site.coordinator = await enter(coordinator(core))
         site.gateway = await enter(gateway(edge, policy))
-        await site.operator.put_until_taken(11, document())
+        await site.operator.put_until_accepted(11, document())
         for endpoint in site.endpoints:
-            assert await site.operator.beat(11, endpoint) == 200
+            assert await site.operator.send_heartbeat(11, endpoint) == 200
         await until(lambda: site.gateway.site.version == 1)
         await until(lambda: len(site.gateway.site.table.alive) == 5)
         yield site
--- a/tests/slow_link.py
+++ b/tests/slow_link.py
@@ -125,7 +125,7 @@
         for conn in self._conns.values():
             conn.close()
 
-    def silence_asked(self) -> None:
+    def silence_senders(self) -> None:
         """Whoever sends a part of a document says nothing any more."""
         for conn in self._conns.values():
             if any(
@@ -149,7 +149,7 @@
 
     async def _while_answered(self, conn: _Connection) -> None:
         """Ping as links do; returns when a ping has no answer in time."""
-        patience = links.PATIENCE
+        patience = links.TIMEOUTS
         while True:
             await asyncio.sleep(patience.ping_s)
             conn.ping(self._loop.time())
@@ -186,7 +186,7 @@
             self.longest_ping_s = max(self.longest_ping_s, waited)
 
 
-def put_in_force(
+def apply_document(
     coordinators: list[process.Coordinator], version: int, source: bytes
 ) -> None:
     """A document is committed and applied at all coordinators."""
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -63,7 +63,7 @@
         )
 
     def add_endpoint(self, number: int) -> None:
-        self.table.take(
+        self.table.update(
             endpoints.Endpoint(
                 id=types.EndpointId(f"d{number}"),
                 service=SERVICE,
@@ -76,7 +76,7 @@
             0.0,
         )
         # Prompts are read elsewhere.
-        self.table.take(
+        self.table.update(
             endpoints.Endpoint(
                 id=types.EndpointId("p"),
                 service=SERVICE,
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -68,9 +68,9 @@
         async with platform_site.small_site(tmp_path) as site:
             site.plain[0].answer = asks
             assert statuses(await ask(site)) == {200}
-            assert len(site.plain[0].seen) <= 1
+            assert len(site.plain[0].requests) <= 1
             assert statuses(await ask(site, "/unsafe/x")) == {200}
-            assert len(site.plain[0].seen) <= 1
+            assert len(site.plain[0].requests) <= 1
 
     asyncio.run(main())
 
@@ -86,7 +86,7 @@
                 endpoint.answer = asks
             answers = await ask(site)
             assert statuses(answers) == {503}
-            assert [len(one.seen) for one in site.plain] == [1, 1]
+            assert [len(one.requests) for one in site.plain] == [1, 1]
             assert all(come_back_s(one) > 25.0 for one in answers)
 
     asyncio.run(main())
@@ -117,7 +117,7 @@
                 asyncio.create_task(site.raw(test_gateway.request("/safe/x")))
                 for _ in range(4)
             ]
-            await platform_site.until(lambda: len(site.plain[0].seen) == 1)
+            await platform_site.until(lambda: len(site.plain[0].requests) == 1)
             loads = site.gateway.site.loads
             key = site.plain[0].ident
             await platform_site.until(
@@ -125,7 +125,7 @@
             )
             go_on.set()
             assert statuses(await asyncio.gather(*tasks)) == {503}
-            assert len(site.plain[0].seen) == 1
+            assert len(site.plain[0].requests) == 1
 
     asyncio.run(main())
 
@@ -137,7 +137,7 @@
         async with platform_site.small_site(tmp_path) as site:
             site.prefill.answer = asks
             assert statuses(await ask(site, "/gen/x", 6)) == {200}
-            assert len(site.prefill.seen) == 1
+            assert len(site.prefill.requests) == 1
 
     asyncio.run(main())
 
@@ -153,10 +153,10 @@
                 endpoint.answer = asks
             answers = await ask(site, "/gen/x", 6)
             assert statuses(answers) == {503}
-            assert [len(one.seen) for one in site.decode] == [1, 1]
+            assert [len(one.requests) for one in site.decode] == [1, 1]
             reads = [
                 req
-                for req in site.prefill.seen
+                for req in site.prefill.requests
                 if message.find(req.headers, b"x-serving-stage")
             ]
             assert len(reads) <= 2
@@ -178,7 +178,7 @@
                 req: message.Request, responder: server.Responder
             ) -> None:
                 site.prefill.answer = asks_and_tells
-                await site.prefill.usual(req, responder)
+                await site.prefill.default_answer(req, responder)
 
             async def asks_and_tells(
                 req: message.Request, responder: server.Responder
@@ -197,12 +197,12 @@
                 endpoint.answer = asks_after
             first = asyncio.create_task(site.raw(test_gateway.generation()))
             await platform_site.until(
-                lambda: any(one.seen for one in site.decode)
+                lambda: any(one.requests for one in site.decode)
             )
             second = await site.raw(test_gateway.generation(ident="r2"))
             assert statuses([await first, second]) == {503}
             # One read, one turned away; nothing else after that.
-            assert [req.method for req in site.prefill.seen] == [
+            assert [req.method for req in site.prefill.requests] == [
                 b"POST",
                 b"POST",
             ]
@@ -218,22 +218,22 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             for endpoint in (site.plain[0], site.decode[0]):
-                endpoint.says = LEAVING
+                endpoint.extra_headers = LEAVING
             for path, one in (
                 ("/safe/x", site.plain[0]),
                 ("/gen/x", site.decode[0]),
             ):
-                while not one.seen:
+                while not one.requests:
                     await ask(site, path, 1)
-                assert await site.operator.beat(11, one) == 200
+                assert await site.operator.send_heartbeat(11, one) == 200
                 table = site.gateway.site.table
-                heard = table.heard_at[one.ident]
+                heard = table.last_heartbeat_at[one.ident]
                 await platform_site.until(
-                    lambda: table.heard_at[one.ident] > heard
+                    lambda: table.last_heartbeat_at[one.ident] > heard
                 )
-                seen = len(one.seen)
+                seen = len(one.requests)
                 assert statuses(await ask(site, path)) == {200}
-                assert len(one.seen) == seen
+                assert len(one.requests) == seen
 
     asyncio.run(main())
 
@@ -243,9 +243,9 @@
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            site.prefill.says = LEAVING
+            site.prefill.extra_headers = LEAVING
             assert statuses(await ask(site, "/gen/x", 4)) == {200}
-            assert len(site.prefill.seen) == 1
+            assert len(site.prefill.requests) == 1
 
     asyncio.run(main())
 
@@ -260,12 +260,12 @@
             other.answer = asks
             assert statuses(await ask(site, count=2)) == {503}
             # It starts again: another id at the same address.
-            one.ident, one.sequence, one.answer = "p9", 0, one.usual
-            assert await site.operator.beat(11, one) == 200
+            one.ident, one.sequence, one.answer = "p9", 0, one.default_answer
+            assert await site.operator.send_heartbeat(11, one) == 200
             table = site.gateway.site.table
             await platform_site.until(lambda: "p9" in table.alive)
             assert statuses(await ask(site, count=3)) == {200}
-            assert len(other.seen) == 1
+            assert len(other.requests) == 1
 
     asyncio.run(main())
 
@@ -282,7 +282,7 @@
                 async def answer(
                     req: message.Request, responder: server.Responder
                 ) -> None:
-                    one.answer = one.usual
+                    one.answer = one.default_answer
                     told = [(b"x-not-executed", b"1"), (b"retry-after", b"1")]
                     responder.whole(503, told, b"")
 
@@ -310,7 +310,7 @@
                 here, there = crashing_site.GATEWAYS
                 one = site.plain[0]
                 one.answer = asks
-                while not one.seen:
+                while not one.requests:
                     await site.ask(here, "/safe/x", b"")
                 other = site.gateways[there].site
                 await platform_site.until(
@@ -322,6 +322,6 @@
                     await site.ask(there, "/safe/x", b"") for _ in range(10)
                 ]
                 assert statuses(answers) == {200}
-                assert len(one.seen) == 1
+                assert len(one.requests) == 1
 
     asyncio.run(main())
--- a/tests/test_backoff_soak.py
+++ b/tests/test_backoff_soak.py
@@ -104,12 +104,12 @@
         if mood == "asks":
             self._asks = self._rng.choice((0.3, 1.0, 1.0))
         elif mood == "leaves":
-            self.endpoint.says = [(b"server-leaving", b"1")]
+            self.endpoint.extra_headers = [(b"server-leaving", b"1")]
         elif mood == "anew":
             self._lives += 1
             self.endpoint.ident = f"{self._name}-{self._lives}"
             self.endpoint.sequence = 0
-            self.endpoint.says = []
+            self.endpoint.extra_headers = []
         return f"{self.endpoint.ident} {mood}"
 
     async def _answer(
@@ -119,7 +119,7 @@
         gateway = message.find(req.headers, endpoint_soak.VIA)
         if gateway is None:
             # A handle is freed; nothing tells by whom.
-            await self.endpoint.usual(req, responder)
+            await self.endpoint.default_answer(req, responder)
             return
         now = asyncio.get_running_loop().time()
         for span in self._arrivals.arrived(life, gateway, now):
@@ -130,12 +130,12 @@
             return
         if self._slow_s:
             await asyncio.sleep(self._slow_s * self._rng.random())
-        if self.endpoint.says and life == self.endpoint.ident:
+        if self.endpoint.extra_headers and life == self.endpoint.ident:
             self._told(life, gateway, 1e9)
         if self._rng.random() < self._fails:
-            responder.whole(500, self.endpoint.says, b"")
+            responder.whole(500, self.endpoint.extra_headers, b"")
             return
-        await self.endpoint.usual(req, responder)
+        await self.endpoint.default_answer(req, responder)
 
     def _turn_away(
         self, responder: server.Responder, life: str, gateway: bytes
@@ -146,8 +146,8 @@
             (b"x-not-executed", b"1"),
             (b"retry-after", b"%.2f" % asked_s),
         ]
-        responder.whole(503, told + self.endpoint.says, b"")
-        if self.endpoint.says:
+        responder.whole(503, told + self.endpoint.extra_headers, b"")
+        if self.endpoint.extra_headers:
             self._told(life, gateway, 1e9)
 
     def _told(self, life: str, gateway: bytes, for_s: float) -> None:
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -52,12 +52,12 @@
     async def put_version(self, number: int, version: int) -> dict:
         """Have a node take a document; what it was sent."""
         doc = platform_site.document(version)
-        await self.operator.put_until_taken(number, doc)
+        await self.operator.put_until_accepted(number, doc)
         return doc
 
     async def read(self, number: int) -> dict:
         """The document that a node tells, once it tells one."""
-        async with asyncio.timeout(platform_site.MOST_S):
+        async with asyncio.timeout(platform_site.TIMEOUT_S):
             while True:
                 status, doc = await self.operator.get(number)
                 if status == 200:
@@ -178,7 +178,7 @@
             one = found.up[12]
             await platform_site.until(
                 lambda: one.node.machine.routing is not None
-                and one.marks.written == one.node.mark
+                and one.commit_marks.written == one.node.mark
             )
             for number in CORE:
                 await found.stop(number)
@@ -231,10 +231,12 @@
             )
             endpoint = platform_site.Endpoint(ident="i", service="plain")
             endpoint.address = "127.0.0.1:1"
-            assert await operator.beat(11, endpoint) == 200
+            assert await operator.send_heartbeat(11, endpoint) == 200
             tables = [one.directory.table.alive for one in apart]
             await platform_site.until(lambda: all("i" in t for t in tables))
-            assert await operator.beat(12, endpoint, "draining") == 200
+            assert (
+                await operator.send_heartbeat(12, endpoint, "draining") == 200
+            )
             await platform_site.until(
                 lambda: tables[0]["i"].state.value == "draining"
             )
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -19,18 +19,18 @@
 def known(*keys: str) -> endpoints.EndpointTable:
     table = endpoints.EndpointTable()
     for key in keys:
-        table.take(test_eligibility.endpoint(key), 0.0)
+        table.update(test_eligibility.endpoint(key), 0.0)
     return table
 
 
 def heard(table: endpoints.EndpointTable, since: float) -> set[str]:
-    return set(table.heard_since(since))
+    return set(table.with_heartbeat_since(since))
 
 
 def test_those_whose_heartbeats_came_are_heard_and_no_others() -> None:
     table = known("a", "b", "c")
     keys = [types.EndpointId(key) for key in ("a", "c", "unknown")]
-    table.hear_digests(digests.pack(keys), 5.0)
+    table.record_heartbeat_digests(digests.pack(keys), 5.0)
     assert heard(table, 4.0) == {"a", "c"}
 
 
@@ -39,17 +39,17 @@
     table.drop(types.EndpointId("a"))
     table.forget_silent(-1.0)
     gone = test_eligibility.endpoint("b", state=endpoints.EndpointState.GONE)
-    table.take(gone, 1.0)
+    table.update(gone, 1.0)
     both = [types.EndpointId("a"), types.EndpointId("b")]
-    table.hear_digests(digests.pack(both), 5.0)
+    table.record_heartbeat_digests(digests.pack(both), 5.0)
     assert heard(table, 4.0) == set()
 
 
 def test_one_that_comes_back_is_heard_again() -> None:
     table = known("a")
     table.drop(types.EndpointId("a"))
-    table.take(test_eligibility.endpoint("a", sequence=2), 1.0)
-    table.hear_digests(digests.digest(types.EndpointId("a")), 5.0)
+    table.update(test_eligibility.endpoint("a", sequence=2), 1.0)
+    table.record_heartbeat_digests(digests.digest(types.EndpointId("a")), 5.0)
     assert heard(table, 4.0) == {"a"}
 
 
@@ -57,17 +57,17 @@
     one, other = types.EndpointId("plumless"), types.EndpointId("buckeroo")
     assert digests.digest(one) == digests.digest(other)
     table = known(one, other)
-    table.hear_digests(digests.digest(one), 5.0)
+    table.record_heartbeat_digests(digests.digest(one), 5.0)
     assert heard(table, 4.0) == {one, other}
     table.drop(one)
-    table.hear_digests(digests.digest(one), 6.0)
+    table.record_heartbeat_digests(digests.digest(one), 6.0)
     assert heard(table, 5.5) == {other}
 
 
 def test_what_is_cut_off_is_left_out() -> None:
     table = known("a")
     data = digests.digest(types.EndpointId("a"))
-    table.hear_digests(data + data[:3], 5.0)
+    table.record_heartbeat_digests(data + data[:3], 5.0)
     assert heard(table, 4.0) == {"a"}
     assert list(digests.unpack(b"abc")) == []
 
@@ -75,5 +75,5 @@
 def test_heartbeats_of_600_endpoints_fit_what_control_may_cost() -> None:
     """As ids they took 7.8 KB a second of each gateway's link."""
     keys = [types.EndpointId(f"i-{at:010x}") for at in range(600)]
-    data = codec.encode(messages.Heard(digests=digests.pack(keys)))
+    data = codec.encode(messages.HeartbeatNotice(digests=digests.pack(keys)))
     assert len(data) / _HEARTBEAT_S < _ALLOWED / 2
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -36,7 +36,7 @@
     found = directory.Directory(heartbeat_s=_BEAT_S, rng=random.Random(1))
     gateways = [Gateway(number=at) for at in range(count)]
     for one in gateways:
-        hello = messages.GatewayHello(vm=one.vm, loads=f"{one.vm}:1")
+        hello = messages.GatewayHello(vm=one.vm, load_address=f"{one.vm}:1")
         found.gateways[one.there] = hello
     return found, gateways
 
@@ -58,13 +58,13 @@
         found, gateways = linked(count)
         items = [endpoint(number) for number in range(1000)]
         for item in items:
-            found.take(item)
+            found.update(item)
         await asyncio.sleep(0.1)
         before = sum(one.bytes for one in gateways)
         for _ in range(10):
             await asyncio.sleep(_BEAT_S)
-            found.table.hear([item.id for item in items], _now())
-            found.ask_of_silent()
+            found.table.record_heartbeats([item.id for item in items], _now())
+            found.query_silent()
         await asyncio.sleep(0.1)
         assert sum(one.bytes for one in gateways) == before
 
@@ -82,20 +82,20 @@
         found, gateways = linked(100)
         items = [endpoint(number) for number in range(1000)]
         for item in items:
-            found.take(item)
+            found.update(item)
         await asyncio.sleep(4.0)
         heard = [item.id for item in items[400:]]
-        found.table.hear(heard, _now())
+        found.table.record_heartbeats(heard, _now())
         for one in gateways:
             one.told.clear()
             one.bytes = 0
-        found.ask_of_silent()
+        found.query_silent()
         await asyncio.sleep(0.1)
         asked = [one for one in gateways if one.told]
         assert len(asked) == 3
         for one in asked:
             (msg,) = one.told
-            assert isinstance(msg, messages.Silent)
+            assert isinstance(msg, messages.SilenceQuery)
             assert set(msg.ids) == {item.id for item in items[:400]}
             assert one.bytes < 8_000
 
@@ -109,16 +109,16 @@
         here, _ = linked(1)
         there, _ = linked(1)
         first = msgspec.structs.replace(endpoint(1), born=1000)
-        here.take(first)
-        there.take(first)
-        there.take(msgspec.structs.replace(endpoint(1), born=2000))
+        here.update(first)
+        there.update(first)
+        there.update(msgspec.structs.replace(endpoint(1), born=2000))
         said = endpoints.Endpoint(
             id=first.id, state=endpoints.EndpointState.GONE
         )
-        told = directory.news(here.with_life(said))
-        directory.take_news(there.table, told, _now())
+        told = directory.update_for(here.with_incarnation(said))
+        directory.apply_update(there.table, told, _now())
         assert there.table.alive[first.id].born == 2000
-        directory.take_news(here.table, told, _now())
+        directory.apply_update(here.table, told, _now())
         assert not here.table.alive
 
     virtual.run(main())
--- a/tests/test_document_fetch.py
+++ b/tests/test_document_fetch.py
@@ -20,8 +20,8 @@
     return found
 
 
-def part(offset: int, data: bytes = DATA) -> messages.RoutingPart:
-    return messages.RoutingPart(
+def part(offset: int, data: bytes = DATA) -> messages.RoutingChunk:
+    return messages.RoutingChunk(
         base=0,
         version=5,
         digest=zlib.crc32(data),
@@ -34,7 +34,7 @@
 def test_one_part_is_asked_for_at_a_time_whatever_is_announced() -> None:
     found = fetch("a", "b")
     ask = found.next_request(have=0, now=0.0)
-    assert ask is not None and ask.msg == messages.Fetch(have=0)
+    assert ask is not None and ask.msg == messages.FetchRouting(held_version=0)
     found.record_version("b", 6)
     found.record_version("a", 7)
     assert found.next_request(have=0, now=0.1) is None
@@ -52,7 +52,7 @@
     assert arrived is not None
     assert arrived.data == DATA
     ask = found.next_request(have=5, now=now)
-    assert ask is not None and ask.msg == messages.Fetch(have=5)
+    assert ask is not None and ask.msg == messages.FetchRouting(held_version=5)
 
 
 def test_another_goes_on_where_a_silent_one_stopped() -> None:
@@ -127,7 +127,7 @@
     assert found.next_request(have=3, now=0.1) is None
     assert found.wake_at is not None and found.wake_at > 0.1
     ask = found.next_request(have=3, now=found.wake_at)
-    assert ask is not None and ask.msg == messages.Fetch(have=0)
+    assert ask is not None and ask.msg == messages.FetchRouting(held_version=0)
 
 
 def test_nothing_is_asked_that_nobody_has() -> None:
--- a/tests/test_document_updates.py
+++ b/tests/test_document_updates.py
@@ -37,7 +37,7 @@
         self.table = match.RouteTable()
         self.now = 0.0
         # Answers on their way: when, of whom, and what.
-        self.way: list[tuple[float, str, messages.RoutingPart]] = []
+        self.way: list[tuple[float, str, messages.RoutingChunk]] = []
 
     def new_document(self) -> None:
         """A version that follows the last, with some routes changed."""
@@ -55,7 +55,7 @@
         missing = [v for v in self.docs if v > feed.version]
         if missing:
             version = self.rng.choice(missing)
-            feed.put(self.docs[version])
+            feed.publish(self.docs[version])
         self.fetch.record_version(name, feed.version)
 
     def disturb(self) -> None:
@@ -71,7 +71,7 @@
             # It has started again, and knows the newest alone.
             feed = routing_feed.RoutingFeed()
             if self.feeds[name].version:
-                feed.put(self.docs[self.feeds[name].version])
+                feed.publish(self.docs[self.feeds[name].version])
             self.feeds[name] = feed
             self.fetch.remove_peer(name)
             self.fetch.record_version(name, feed.version)
@@ -90,7 +90,7 @@
         ask = self.fetch.next_request(have=self.table.version, now=self.now)
         if ask is None or ask.peer in self.silent:
             return
-        answer = self.feeds[ask.peer].part(ask.msg)
+        answer = self.feeds[ask.peer].chunk(ask.msg)
         if answer is not None:
             late = self.rng.choice([0.01, 0.05, 0.2, 0.7])
             self.way.append((self.now + late, ask.peer, answer))
@@ -115,7 +115,7 @@
 def test_a_gateway_has_one_version_whole_and_ends_with_the_newest(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(routing_feed, "PART_BYTES", PART_BYTES)
+    monkeypatch.setattr(routing_feed, "CHUNK_BYTES", PART_BYTES)
     run = Run(seed=seed)
     for _ in range(STEPS):
         if run.rng.random() < 0.1:
@@ -126,7 +126,7 @@
     run.silent.clear()
     newest = max(run.docs)
     for name in NAMES:
-        run.feeds[name].put(run.docs[newest])
+        run.feeds[name].publish(run.docs[newest])
         run.fetch.record_version(name, newest)
     for _ in range(STEPS):
         run.step()
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -65,7 +65,7 @@
         )
         self.one, self.other = endpoint("a", role), endpoint("b", role)
         for item in (self.one, self.other):
-            self.table.take(item, 0.0)
+            self.table.update(item, 0.0)
 
     def chosen(self, now: float, role: types.Role = PLAIN) -> set[str]:
         found = self.chooser.candidates.find(SERVICE, role, now=now)
@@ -131,7 +131,7 @@
     known.eligible.set_changing([known.one.id])
     bar = known.eligible.bar(known.one, 0.0)
     assert bar is eligibility.Bar.CHANGING_ROLE
-    known.table.take(
+    known.table.update(
         endpoint("a", sequence=2, state=endpoints.EndpointState.DRAINING), 0.0
     )
     bar = known.eligible.bar(known.one, 0.0)
@@ -159,10 +159,10 @@
 def test_a_new_life_has_asked_for_nothing() -> None:
     known = Known()
     first = endpoint("c", born=1000)
-    known.table.take(first, 0.0)
+    known.table.update(first, 0.0)
     known.backoffs.asked(first, 3600.0, 0.0)
     assert known.eligible.bar(first, 1.0) is eligibility.Bar.BACKOFF
-    known.table.take(endpoint("c", born=2000), 1.0)
+    known.table.update(endpoint("c", born=2000), 1.0)
     assert known.eligible.bar(first, 1.0) is None
     # A late answer of the life before binds nobody.
     known.backoffs.asked(first, 3600.0, 1.1)
@@ -233,14 +233,14 @@
 def test_leaving_is_the_last_word_of_a_life() -> None:
     """Heartbeats that were sent before, or say ready still, change nothing."""
     known = Known()
-    assert known.table.leaves(known.one)
-    assert not known.table.leaves(known.one)
+    assert known.table.record_leaving(known.one)
+    assert not known.table.record_leaving(known.one)
     assert known.eligible.bar(known.one, 0.0) is eligibility.Bar.LEAVING
-    known.table.take(endpoint("a", sequence=2), 1.0)
+    known.table.update(endpoint("a", sequence=2), 1.0)
     assert known.eligible.bar(known.one, 1.0) is eligibility.Bar.LEAVING
     # It was silent, was forgotten, and is heard of again.
     known.table.forget_silent(50.0)
-    known.table.take(endpoint("a", sequence=3), 60.0)
+    known.table.update(endpoint("a", sequence=3), 60.0)
     assert known.eligible.bar(known.one, 60.0) is eligibility.Bar.LEAVING
     assert known.table.has_left(known.one)
 
@@ -248,22 +248,22 @@
 def test_a_new_life_under_the_id_begins_anew() -> None:
     known = Known()
     first, second = endpoint("c", born=1000), endpoint("c", born=2000)
-    known.table.take(first, 0.0)
-    known.table.leaves(first)
-    known.table.take(second, 1.0)
+    known.table.update(first, 0.0)
+    known.table.record_leaving(first)
+    known.table.update(second, 1.0)
     assert known.eligible.bar(second, 1.0) is None
     # The last answer of the life before comes late.
-    assert not known.table.leaves(first)
+    assert not known.table.record_leaving(first)
     assert known.eligible.bar(second, 1.0) is None
-    known.table.leaves(second)
-    known.table.take(endpoint("c", born=2000, sequence=5), 2.0)
+    known.table.record_leaving(second)
+    known.table.update(endpoint("c", born=2000, sequence=5), 2.0)
     assert known.eligible.bar(second, 2.0) is eligibility.Bar.LEAVING
 
 
 def test_one_that_ended_is_not_brought_back_by_its_last_answer() -> None:
     known = Known()
-    known.table.take(endpoint("a", state=endpoints.EndpointState.GONE), 1.0)
-    assert not known.table.leaves(known.one)
+    known.table.update(endpoint("a", state=endpoints.EndpointState.GONE), 1.0)
+    assert not known.table.record_leaving(known.one)
     assert known.eligible.bar(known.one, 1.0) is eligibility.Bar.GONE
 
 
@@ -343,5 +343,5 @@
     assert known.chosen(0.1, types.Role.DECODE) == set()
     assert known.chooser.running(SERVICE, 0.1) == 2
     # Of one that leaves no place comes back.
-    known.table.leaves(known.one)
+    known.table.record_leaving(known.one)
     assert known.chooser.running(SERVICE, 0.1) == 1
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -54,7 +54,7 @@
         req: message.Request, responder: server.Responder
     ) -> None:
         await go_on.wait()
-        await endpoint.usual(req, responder)
+        await endpoint.default_answer(req, responder)
 
     return answer
 
@@ -68,7 +68,7 @@
             got = await site.raw(request(path, b"\x00\xffbody"))
             assert status(got) == 200
             assert got.endswith(b"from \x00\xffbody")
-            seen = [req for one in site.plain for req in one.seen]
+            seen = [req for one in site.plain for req in one.requests]
             assert [req.target for req in seen] == [path.encode()]
 
     asyncio.run(main())
@@ -111,7 +111,7 @@
             b"x-response-seal: s\r\ncontent-length: 5\r\n\r\nwrong"
         )
         responder._conn.write(late)
-        responder.whole(200, platform_site.echoed(req), b"right")
+        responder.whole(200, platform_site.vouching_headers(req), b"right")
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -130,9 +130,9 @@
         async with platform_site.small_site(tmp_path) as site:
             all_answer(site, cut)
             assert status(await site.raw(request("/unsafe/x"))) == 502
-            assert sum(len(one.seen) for one in site.plain) == 1
+            assert sum(len(one.requests) for one in site.plain) == 1
             assert status(await site.raw(request("/safe/x"))) == 502
-            assert sum(len(one.seen) for one in site.plain) == 3
+            assert sum(len(one.requests) for one in site.plain) == 3
 
     asyncio.run(main())
 
@@ -150,7 +150,7 @@
             for _ in range(2):
                 got = await site.raw(generation())
                 assert status(got) == 200
-            rejected, ran = (len(one.seen) for one in site.decode)
+            rejected, ran = (len(one.requests) for one in site.decode)
             assert rejected >= 1 and ran == 2
 
     asyncio.run(main())
@@ -187,7 +187,7 @@
 
     async def short(req: message.Request, responder: server.Responder) -> None:
         length = [(b"content-length", b"100")]
-        responder.bare(200, platform_site.echoed(req) + length)
+        responder.bare(200, platform_site.vouching_headers(req) + length)
         responder._conn.write(b"only a part")
         responder.abort()
 
@@ -208,7 +208,7 @@
         req: message.Request, responder: server.Responder
     ) -> None:
         responder._conn.closing = True
-        responder.bare(200, platform_site.echoed(req))
+        responder.bare(200, platform_site.vouching_headers(req))
         responder._conn.write(b"all of it")
 
     async def main() -> None:
@@ -230,23 +230,26 @@
             leaving, staying = site.plain
             table = site.gateway.site.table
             late = leaving.heartbeat()
-            assert await site.operator.beat(11, leaving, "draining") == 200
+            assert (
+                await site.operator.send_heartbeat(11, leaving, "draining")
+                == 200
+            )
             await platform_site.until(
                 lambda: table.alive["p0"].state.value == "draining"
             )
             # A late heartbeat from before does not bring it back.
             leaving.sequence = late["sequence"] - 1
-            await site.operator.beat(11, leaving)
+            await site.operator.send_heartbeat(11, leaving)
             for number in range(6):
                 await site.raw(request("/safe/x", ident=f"r{number}"))
-            assert not leaving.seen
-            assert len(staying.seen) == 6
+            assert not leaving.requests
+            assert len(staying.requests) == 6
             assert await site.operator.leave(11, staying) == 200
             await platform_site.until(lambda: "p1" not in table.alive)
             got = await site.raw(request("/safe/x"))
             assert status(got) == 503
             leaving.sequence = 50
-            await site.operator.beat(11, staying)
+            await site.operator.send_heartbeat(11, staying)
             assert "p1" not in site.coordinator.directory.table.alive
 
     asyncio.run(main())
@@ -291,7 +294,7 @@
             _, writer = await asyncio.open_connection(*site.plan.front(31))
             writer.write(request("/unsafe/x"))
             await platform_site.until(
-                lambda: any(one.seen for one in site.plain)
+                lambda: any(one.requests for one in site.plain)
             )
             writer.close()
             async with asyncio.timeout(5):
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -38,7 +38,7 @@
         self.loads = endpoint_load.LoadBook(changed=nothing)
         self.health = endpoint_health.HealthBook()
         for key in (A, B):
-            self.table.take(
+            self.table.update(
                 endpoints.Endpoint(
                     id=key,
                     service=SERVICE,
@@ -119,7 +119,7 @@
     for _ in range(20):
         chosen = known.chooser.plain(SERVICE, now=0.1)
         assert chosen is not None and chosen.id == B
-    known.table.hear([A], 9.0)
+    known.table.record_heartbeats([A], 9.0)
     chosen = known.chooser.plain(SERVICE, now=9.5)
     assert chosen is not None and chosen.id == A
     # With nobody else left, a silent one is better than none.
--- a/tests/test_gateway_fields.py
+++ b/tests/test_gateway_fields.py
@@ -38,7 +38,7 @@
 
 def assert_nothing_smuggled(site: platform_site.Site, most: int) -> None:
     """No endpoint saw a client's value; at least `most` requests came."""
-    seen = [req for one in site.endpoints for req in one.seen]
+    seen = [req for one in site.endpoints for req in one.requests]
     assert len(seen) >= most
     for req in seen:
         for name, value in ONLY_THE_SITE_SETS.items():
@@ -48,7 +48,7 @@
 
 
 def test_the_list_of_what_only_the_site_sets_is_whole() -> None:
-    assert headers.OURS == frozenset(ONLY_THE_SITE_SETS)
+    assert headers.GATEWAY_ONLY == frozenset(ONLY_THE_SITE_SETS)
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/unsafe/x", "/gen/x", "/res/x"])
@@ -95,7 +95,7 @@
         async with platform_site.small_site(tmp_path) as site:
             got = await site.raw(test_gateway.generation(more=smuggled()))
             assert test_gateway.status(got) == 200
-            run = [req for one in site.decode for req in one.seen]
+            run = [req for one in site.decode for req in one.requests]
             assert len(run) == 1
             assert message.find(run[0].headers, b"x-serving-stage") is None
             source = message.find(run[0].headers, b"x-kv-source") or b""
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -66,7 +66,7 @@
 ) -> endpoint_choice.Chooser:
     table = endpoints.EndpointTable()
     for item in found:
-        table.take(item, 0.0)
+        table.update(item, 0.0)
     group = gateway_groups.Group(vm=types.VmId(vm))
     group.set_gateways(gateways)
     return endpoint_choice.Chooser(
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -26,7 +26,7 @@
 
 
 async def set_document(site: platform_site.Site, doc: dict) -> None:
-    await site.operator.put_until_taken(11, doc)
+    await site.operator.put_until_accepted(11, doc)
     version = doc["version"]
     await platform_site.until(lambda: site.gateway.site.version == version)
 
@@ -42,7 +42,7 @@
 
 
 def seen(site: platform_site.Site) -> list[message.Request]:
-    return [req for one in site.endpoints for req in one.seen]
+    return [req for one in site.endpoints for req in one.requests]
 
 
 def test_only_known_keys_are_served_but_on_public_routes(
@@ -94,7 +94,7 @@
                 rank = message.find(req.headers, b"x-request-priority")
                 assert rank == b"4"
             for one in site.endpoints:
-                one.seen.clear()
+                one.requests.clear()
             more = key("k3") + "X-Tenant-Id: other\r\n"
             await site.raw(test_gateway.request(_PUBLIC, more=more))
             (req,) = seen(site)
--- a/tests/test_gateway_prompts.py
+++ b/tests/test_gateway_prompts.py
@@ -20,7 +20,7 @@
             )
             assert test_gateway.status(got) == 503
             assert b"retry-after" in got
-            assert not site.prefill.seen
+            assert not site.prefill.requests
 
     asyncio.run(main())
 
@@ -33,7 +33,7 @@
             site.prefill.answer = test_gateway.cut
             got = await site.raw(test_gateway.generation())
             assert test_gateway.status(got) == 200
-            run = [req for one in site.decode for req in one.seen]
+            run = [req for one in site.decode for req in one.requests]
             assert message.find(run[0].headers, b"x-kv-source") is None
 
     asyncio.run(main())
@@ -57,11 +57,11 @@
                 for number in range(6)
             ]
             await platform_site.until(
-                lambda: all(one.seen for one in site.decode)
+                lambda: all(one.requests for one in site.decode)
             )
             # All have been tried at the prefill endpoint by now or wait.
             await asyncio.sleep(0.2)
-            assert [len(one.seen) for one in site.decode] == [1, 1]
+            assert [len(one.requests) for one in site.decode] == [1, 1]
             go_on.set()
             for answer in await asyncio.gather(*calls):
                 assert test_gateway.status(answer) == 200
@@ -85,8 +85,8 @@
                 )
                 assert test_gateway.status(got) == 200
             allowed = 0.2 * 80 + 56
-            assert 20 < len(site.prefill.seen) <= allowed
-            in_place = sum(len(one.seen) for one in site.decode)
+            assert 20 < len(site.prefill.requests) <= allowed
+            in_place = sum(len(one.requests) for one in site.decode)
             assert in_place == 80
 
     asyncio.run(main())
@@ -112,7 +112,9 @@
                     budget.repeat(now)
                 got = await site.raw(test_gateway.generation(ident=ident))
                 assert test_gateway.status(got) == 200
-                return sum(req.method == b"POST" for req in site.prefill.seen)
+                return sum(
+                    req.method == b"POST" for req in site.prefill.requests
+                )
 
             assert await reads("r1") == 1
             assert await reads("r2") == 2
@@ -138,6 +140,6 @@
                 budget.repeat(now)
             got = await site.raw(test_gateway.generation())
             assert test_gateway.status(got) == 200
-            assert site.prefill.seen == []
+            assert site.prefill.requests == []
 
     asyncio.run(main())
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -23,7 +23,7 @@
             return
         broken.append(one.ident)
         kind = [(b"content-type", b"text/event-stream")]
-        responder.start(200, platform_site.echoed(req) + kind)
+        responder.start(200, platform_site.vouching_headers(req) + kind)
         await responder.part(b"id: 1\ndata: x1\n\nid: 2\nda")
         await asyncio.sleep(0.05)
         responder.abort()
@@ -67,9 +67,11 @@
             broken = all_break_off(site)
             got = await site.raw(test_gateway.generation("/res/x"))
             assert got.endswith(b"0\r\n\r\n")
-            ran = [one.ident for one in site.decode for _ in one.seen]
+            ran = [one.ident for one in site.decode for _ in one.requests]
             assert ran == broken * 2
-            reads = [req for req in site.prefill.seen if req.method == b"POST"]
+            reads = [
+                req for req in site.prefill.requests if req.method == b"POST"
+            ]
             assert len(reads) == 1
 
     asyncio.run(main())
@@ -102,6 +104,6 @@
                 one.answer = leaves(one)
             got = await site.raw(test_gateway.generation("/res/x"))
             assert got.endswith(b"0\r\n\r\n")
-            assert [len(one.seen) for one in site.decode] == [1, 1]
+            assert [len(one.requests) for one in site.decode] == [1, 1]
 
     asyncio.run(main())
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -30,49 +30,49 @@
 def test_a_later_life_counts_anew() -> None:
     """Its sequence begins again, and it may be ready after a drain."""
     table = endpoints.EndpointTable()
-    table.take(heartbeat(sequence=90, born=1000, state="draining"), 1.0)
-    assert table.take(heartbeat(sequence=1, born=2000), 2.0)
+    table.update(heartbeat(sequence=90, born=1000, state="draining"), 1.0)
+    assert table.update(heartbeat(sequence=1, born=2000), 2.0)
     assert table.alive[_ID].state is endpoints.EndpointState.READY
-    assert not table.take(heartbeat(sequence=2, born=2000), 3.0)
+    assert not table.update(heartbeat(sequence=2, born=2000), 3.0)
 
 
 def test_what_an_earlier_life_still_says_is_nothing() -> None:
     table = endpoints.EndpointTable()
-    table.take(heartbeat(sequence=1, born=2000), 1.0)
+    table.update(heartbeat(sequence=1, born=2000), 1.0)
     late = heartbeat(sequence=90, born=1000, state="draining")
-    assert not table.take(late, 2.0)
-    assert not table.take(gone(1000), 3.0)
+    assert not table.update(late, 2.0)
+    assert not table.update(gone(1000), 3.0)
     assert table.alive[_ID].born == 2000
     assert table.alive[_ID].state is endpoints.EndpointState.READY
 
 
 def test_one_that_ended_returns_in_a_later_life_only() -> None:
     table = endpoints.EndpointTable()
-    table.take(heartbeat(sequence=5, born=1000), 1.0)
+    table.update(heartbeat(sequence=5, born=1000), 1.0)
     # It does not say which of its lives ends.
-    assert table.take(heartbeats.gone(_ID), 2.0)
+    assert table.update(heartbeats.gone(_ID), 2.0)
     assert table.ended() == [endpoints.Incarnation(_ID, 1000)]
-    assert not table.take(heartbeat(sequence=9, born=1000), 3.0)
-    assert not table.take(heartbeat(sequence=9), 3.0)
-    assert table.take(heartbeat(sequence=1, born=1001), 4.0)
+    assert not table.update(heartbeat(sequence=9, born=1000), 3.0)
+    assert not table.update(heartbeat(sequence=9), 3.0)
+    assert table.update(heartbeat(sequence=1, born=1001), 4.0)
     assert table.ended() == []
 
 
 def test_one_that_was_dropped_returns_in_a_later_life() -> None:
     table = endpoints.EndpointTable()
-    table.take(heartbeat(sequence=50, born=1000), 1.0)
+    table.update(heartbeat(sequence=50, born=1000), 1.0)
     table.drop(_ID)
-    assert not table.take(heartbeat(sequence=50, born=1000), 2.0)
-    assert table.take(heartbeat(sequence=1, born=2000), 2.0)
+    assert not table.update(heartbeat(sequence=50, born=1000), 2.0)
+    assert table.update(heartbeat(sequence=1, born=2000), 2.0)
 
 
 def test_a_life_is_told_from_the_one_in_which_it_was_chosen() -> None:
     table = endpoints.EndpointTable()
     old = heartbeat(born=1000)
-    table.take(old, 1.0)
-    assert table.is_current(old) and not table.is_reborn(old)
-    table.take(heartbeat(born=2000), 2.0)
-    assert not table.is_current(old) and table.is_reborn(old)
+    table.update(old, 1.0)
+    assert table.is_current(old) and not table.has_restarted(old)
+    table.update(heartbeat(born=2000), 2.0)
+    assert not table.is_current(old) and table.has_restarted(old)
 
 
 LIVES = strategies.tuples(
@@ -91,10 +91,10 @@
     for at in order:
         born, sequence, state = words[at]
         if state == "gone":
-            table.take(gone(born), 1.0)
+            table.update(gone(born), 1.0)
         else:
             item = heartbeat(born=born, sequence=sequence, state=state)
-            table.take(item, 1.0)
+            table.update(item, 1.0)
     lives = [born for born, _, _ in words]
     ended = {born for born, _, state in words if state == "gone"}
     last = max(lives)
@@ -199,17 +199,17 @@
         async with platform_site.small_site(tmp_path) as site:
             other = platform_site.Endpoint(ident="other", service="nobody")
             other.address = site.plain[0].address
-            assert await site.operator.beat(11, other) == 400
+            assert await site.operator.send_heartbeat(11, other) == 400
             assert "p0" in site.coordinator.directory.table.alive
             # Its service goes from the document: it may say that it leaves.
             doc = platform_site.document(2)
             doc["routes"] = doc["routes"][2:]
             doc["services"] = doc["services"][1:]
-            await site.operator.put_until_taken(11, doc)
+            await site.operator.put_until_accepted(11, doc)
             await platform_site.until(
                 lambda: site.coordinator.feed.version == 2
             )
-            beat = site.operator.beat(11, site.plain[0], "draining")
+            beat = site.operator.send_heartbeat(11, site.plain[0], "draining")
             assert await beat == 200
 
     asyncio.run(main())
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -69,7 +69,7 @@
         async with listening() as found:
             found.server.limits = model.Limits(idle_s=0.3)
             found.writer.write(HEAD + b"Content-Length: 9\r\n\r\nhalf")
-            async with asyncio.timeout(platform_site.MOST_S):
+            async with asyncio.timeout(platform_site.TIMEOUT_S):
                 assert b" 408 " in await found.reader.readline()
             assert not found.seen
 
@@ -90,7 +90,7 @@
             )
             found.answer.set()
             both = b""
-            async with asyncio.timeout(platform_site.MOST_S):
+            async with asyncio.timeout(platform_site.TIMEOUT_S):
                 while both.count(b"done") < 2:
                     both += await found.reader.read(4096)
             assert b"100 Continue" not in both
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -53,7 +53,7 @@
 
 def test_an_organisation_is_found_by_each_of_its_keys() -> None:
     doc = document(1, [organisation("nord", "a", "b", priority=3)])
-    found = table(changes.whole(doc))
+    found = table(changes.from_empty(doc))
     assert found.organisations.keys_required
     assert [holder(found, key) for key in ("a", "b", "c")] == [
         "nord",
@@ -135,10 +135,10 @@
         )
         for at, held in enumerate(versions)
     ]
-    steps = [changes.between(a, b) for a, b in zip(docs, docs[1:])]
+    steps = [changes.diff(a, b) for a, b in zip(docs, docs[1:])]
     last = docs[-1]
     for at, doc in enumerate(docs[:-1]):
-        found = table(changes.whole(doc), changes.joined(steps[at:]))
+        found = table(changes.from_empty(doc), changes.merge(steps[at:]))
         assert found.organisations.keys_required == last.keys_required
         assert found.organisations.count == len(last.organisations)
         for name in "abcd":
@@ -150,11 +150,11 @@
 def test_a_change_that_makes_other_organisations_changes_nothing() -> None:
     first = document(1, [organisation("a", "1")])
     other = document(2, [organisation("b", "2"), organisation("c", "3")])
-    change = changes.between(
+    change = changes.diff(
         document(1, [organisation("d", "4")]),
         document(2, [organisation("d", "4"), organisation("e", "5")]),
     )
-    found = table(changes.whole(first), changes.between(first, other))
+    found = table(changes.from_empty(first), changes.diff(first, other))
     with pytest.raises(exceptions.RoutingError):
         found.apply(change)
     assert (found.version, found.organisations.count) == (2, 2)
@@ -168,7 +168,7 @@
     ]
     before = document(1, held)
     held[99]["apiKeys"].append("99-3")
-    change = changes.between(before, document(2, held))
+    change = changes.diff(before, document(2, held))
     assert change.size == 1
     assert len(changes.encode(change)) < 600
 
--- a/tests/test_large_documents.py
+++ b/tests/test_large_documents.py
@@ -55,7 +55,7 @@
     plan = platform_site.Plan(root=root)
     hosts = [plan.host(11 + idx, kind="core", seeds=()) for idx in range(5)]
     found = [process.Coordinator(host=host) for host in hosts]
-    slow_link.put_in_force(found, version, source(version, routes))
+    slow_link.apply_document(found, version, source(version, routes))
     edge = plan.host(31, kind="edge", seeds=())
     link = slow_link.SlowLink(edge=edge, bytes_per_s=RATE)
     link.start(found)
@@ -100,9 +100,9 @@
         async with site(tmp_path, version=7, routes=1400) as (link, found):
             await in_force(link, 7)
             await asyncio.sleep(5.0)
-            slow_link.put_in_force(found, 8, source(8, 2800))
+            slow_link.apply_document(found, 8, source(8, 2800))
             await asyncio.sleep(0.1)
-            slow_link.put_in_force(found, 9, source(9, 2801))
+            slow_link.apply_document(found, 9, source(9, 2801))
             assert await in_force(link, 9) < SOON_S
             await asyncio.sleep(5.0)
             assert link.lost == 0
@@ -121,7 +121,7 @@
             await in_force(link, 7)
             await asyncio.sleep(5.0)
             before = link.bytes_down
-            slow_link.put_in_force(found, 8, source(8, 4201))
+            slow_link.apply_document(found, 8, source(8, 4201))
             assert await in_force(link, 8) < SOON_S
             # Heartbeats and keepalives of a second and a half included.
             assert link.bytes_down - before < 10_000
@@ -140,7 +140,7 @@
             before = link.bytes_down
             for version in range(2, 32):
                 text = source(version, 4200 + 40 * version)
-                slow_link.put_in_force(found, version, text)
+                slow_link.apply_document(found, version, text)
                 await asyncio.sleep(0.1)
                 assert link.site.version >= version - 5
             assert await in_force(link, 31) < 0.5
@@ -159,9 +159,9 @@
     async def main() -> None:
         async with site(tmp_path, version=7, routes=1400) as (link, found):
             await in_force(link, 7)
-            slow_link.put_in_force(found, 8, source(8, 5600))
+            slow_link.apply_document(found, 8, source(8, 5600))
             await asyncio.sleep(0.05)
-            link.silence_asked()
+            link.silence_senders()
             assert await in_force(link, 8) < SOON_S
 
     virtual.run(main())
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -32,7 +32,7 @@
     def link(self, coordinator: process.Coordinator) -> None:
         coordinator._introduce(
             self.there,
-            messages.GatewayHello(vm=self.vm, loads=f"{self.vm}:7661"),
+            messages.GatewayHello(vm=self.vm, load_address=f"{self.vm}:7661"),
         )
 
     def _receive(self, msg: msgspec.Struct) -> None:
--- a/tests/test_named_rates.py
+++ b/tests/test_named_rates.py
@@ -54,14 +54,14 @@
 
     def name(self, rate: bytes) -> None:
         """It names a rate from now on; what came before counts no more."""
-        self.one.says = [(b"server-limit", rate)]
+        self.one.extra_headers = [(b"server-limit", rate)]
         self._per_s = float(rate)
         self._named = False
         self.at.clear()
 
     def name_none(self) -> None:
         """It takes what it gets from now on."""
-        self.one.says = []
+        self.one.extra_headers = []
 
     def is_known(self, site: platform_site.Site) -> bool:
         """Whether the gateway knows what it names."""
@@ -164,7 +164,7 @@
             limited = [Limited(one, b"2") for one in site.decode]
             await waves(site, "/gen/x", _WAVE)
             assert all(one.is_known(site) for one in limited)
-            site.prefill.seen.clear()
+            site.prefill.requests.clear()
             answers = await asyncio.gather(
                 *(
                     test_backoff.ask(site, "/gen/x", 1)
@@ -177,7 +177,7 @@
             served = sum(test_gateway.status(one) == 200 for one in found)
             reads = [
                 req
-                for req in site.prefill.seen
+                for req in site.prefill.requests
                 if message.find(req.headers, b"x-serving-stage")
             ]
             assert len(reads) == served
@@ -262,12 +262,12 @@
             await waves(site)
             limited.name_none()
             assert limited.is_known(site)
-            async with asyncio.timeout(platform_site.MOST_S):
+            async with asyncio.timeout(platform_site.TIMEOUT_S):
                 while limited.is_known(site):
                     answers = await test_backoff.ask(site, count=1)
                     assert test_backoff.statuses(answers) == {200}
-            seen = len(site.plain[0].seen)
+            seen = len(site.plain[0].requests)
             await waves(site)
-            assert len(site.plain[0].seen) > seen + 5
+            assert len(site.plain[0].requests) > seen + 5
 
     asyncio.run(main())
--- a/tests/test_notice_relays.py
+++ b/tests/test_notice_relays.py
@@ -55,10 +55,10 @@
         codec.cbor2, "dumps", lambda raw: made.append(1) or dumps(raw)
     )
     ids = [types.EndpointId(f"i-{at}") for at in range(100)]
-    msg = messages.Heard(digests=digests.pack(ids))
+    msg = messages.HeartbeatNotice(digests=digests.pack(ids))
     sent = {codec.encode(msg) for _ in range(103)}
     assert len(sent) == 1 and len(made) == 1
-    other = messages.Heard(digests=digests.pack(ids[:3]))
+    other = messages.HeartbeatNotice(digests=digests.pack(ids[:3]))
     found = codec.Decoder(kinds=messages.ToGateway)
     assert found.decode(codec.encode(other)) == other
     assert found.decode(codec.encode(msg)) == msg
--- a/tests/test_plain_crowd.py
+++ b/tests/test_plain_crowd.py
@@ -49,7 +49,7 @@
         self.loads = endpoint_load.LoadBook(changed=lambda: None)
         table = endpoints.EndpointTable()
         for name in range(_ENDPOINTS):
-            table.take(
+            table.update(
                 endpoints.Endpoint(
                     id=types.EndpointId(f"r{name}"),
                     service=SERVICE,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -66,15 +66,19 @@
 
 
 def test_sizes_of_a_request() -> None:
-    found = headers.tokens(
+    found = headers.request_sizes(
         [(b"x-token-usage", b"1460,80"), (b"x-length-hint", b"40")]
     )
-    assert found == headers.Tokens(prompt=1460, most_out=80, guess_out=40)
-    found = headers.tokens([(b"x-token-usage", b"1460,80")])
-    assert found is not None and found.guess_out == 80
-    assert headers.tokens([]) is None
-    found = headers.tokens([(b"x-token-usage", b"odd")])
-    assert found == headers.Tokens(prompt=0, most_out=0, guess_out=0)
+    assert found == headers.RequestSizes(
+        prompt=1460, max_output=80, expected_output=40
+    )
+    found = headers.request_sizes([(b"x-token-usage", b"1460,80")])
+    assert found is not None and found.expected_output == 80
+    assert headers.request_sizes([]) is None
+    found = headers.request_sizes([(b"x-token-usage", b"odd")])
+    assert found == headers.RequestSizes(
+        prompt=0, max_output=0, expected_output=0
+    )
 
 
 def test_prefill_results() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -40,8 +40,8 @@
         async with platform_site.small_site(tmp_path, policy=left_out) as site:
             got = await site.raw(test_gateway.generation())
             assert test_gateway.status(got) == 200
-            assert not site.prefill.seen
-            assert sum(len(one.seen) for one in site.decode) == 1
+            assert not site.prefill.requests
+            assert sum(len(one.requests) for one in site.decode) == 1
 
     asyncio.run(main())
 
@@ -61,7 +61,9 @@
         site = site_mod.Site(
             host=plan.host(31, kind="edge"), policy=policy.Policy(share=share)
         )
-        other = messages.GatewayAddress(vm=types.VmId("g2"), loads="h:1")
+        other = messages.GatewayAddress(
+            vm=types.VmId("g2"), load_address="h:1"
+        )
         site.set_gateways([other])
         telling = load_exchange.LoadExchange(site=site)
         found = Sent()
@@ -80,7 +82,7 @@
         env=env,
         capture_output=True,
         text=True,
-        timeout=platform_site.MOST_S,
+        timeout=platform_site.TIMEOUT_S,
     )
     assert done.returncode == 2
     assert done.stderr.count("\n") == 1
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -156,7 +156,7 @@
             sequence=int(now * 10) + 1,
             **more,  # type: ignore[arg-type]
         )
-        self.table.take(item, now)
+        self.table.update(item, now)
 
     def breaks(
         self, request: types.Fingerprint, number: int, now: float
--- a/tests/test_rate_soak.py
+++ b/tests/test_rate_soak.py
@@ -82,9 +82,11 @@
         self._named_at = None
         self._told.clear()
         self._came.clear()
-        self.endpoint.says = []
+        self.endpoint.extra_headers = []
         if self._per_s is not None:
-            self.endpoint.says = [(b"server-limit", b"%.1f" % self._per_s)]
+            self.endpoint.extra_headers = [
+                (b"server-limit", b"%.1f" % self._per_s)
+            ]
         return f"{self.endpoint.ident} names {self._per_s}"
 
     def _arrived(self, gateway: bytes, now: float) -> None:
@@ -117,9 +119,9 @@
             if self._named_at is None:
                 self._named_at = loop.time()
         if self._rng.random() < self._fails:
-            responder.whole(500, self.endpoint.says, b"")
+            responder.whole(500, self.endpoint.extra_headers, b"")
             return
-        await self.endpoint.usual(req, responder)
+        await self.endpoint.default_answer(req, responder)
 
 
 class _Soak(endpoint_soak.Soak):
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -202,7 +202,7 @@
 
         async def beat() -> None:
             for one in group:
-                assert await operator.beat(11, one) == 200
+                assert await operator.send_heartbeat(11, one) == 200
 
         for one in group:
             await enter(one.running())
@@ -218,7 +218,7 @@
     """Ask for more decode endpoints until something has been ordered."""
     async with asyncio.timeout(_MOST_S):
         while not ordered():
-            running._roles.take_demand(types.VmId("e"), (DEMAND,))
+            running._roles.record_demand(types.VmId("e"), (DEMAND,))
             await beat()
             await asyncio.sleep(0.1)
 
@@ -254,7 +254,7 @@
             assert order["fence"] == 1
             assert order["expectedRevision"] == 0
             assert order["holder"] == "core-11"
-            seen = given[0].seen[-1]
+            seen = given[0].requests[-1]
             expected = message.find(seen.headers, b"x-expect-instance")
             assert expected == given[0].ident.encode()
             given[0].stage = "decode"
@@ -321,7 +321,7 @@
         group[0].answer = test_backoff.asks
         async with ordering(tmp_path, group) as (running, beat):
             await ask_until(lambda: bool(group[1].orders), running, beat)
-            assert len(group[0].seen) == 1
+            assert len(group[0].requests) == 1
             assert not group[0].orders
 
     asyncio.run(main())
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -25,7 +25,7 @@
     deep = dict(doc["routes"][0], name="deep", pathPrefix="/safe/deep/")
     doc["routes"].append(deep)
     table = match.RouteTable()
-    table.apply(changes.whole(decode(doc)))
+    table.apply(changes.from_empty(decode(doc)))
     found = table.find("site.example", "/safe/deep/x")
     assert found is not None and found.name == "deep"
     found = table.find("SITE.example:80", "/safe/x")
@@ -92,7 +92,7 @@
 
 def test_what_is_read_after_another_document_is_the_same_as_alone() -> None:
     """Routes written as before are not read again; a bad one harms none."""
-    reader = documents.Reader()
+    reader = documents.IncrementalDecoder()
     first = platform_site.document(1)
     text = json.dumps(first).encode()
     before = reader.decode(text)
@@ -110,7 +110,7 @@
     assert after == documents.decode(text)
     assert after.routes[0] is before.routes[0]
     assert after.routes[1] is not before.routes[1]
-    change = changes.between(before, after)
+    change = changes.diff(before, after)
     assert [route.timeout_s for route in change.put] == [0.077]
     assert len(change.removed) == 1
 
@@ -124,38 +124,38 @@
 
 def test_late_heartbeats_change_nothing() -> None:
     table = endpoints.EndpointTable()
-    assert table.take(_endpoint(sequence=5), 1.0)
-    assert not table.take(_endpoint(sequence=6), 2.0)
-    assert table.take(_endpoint(sequence=7, state="draining"), 3.0)
-    assert not table.take(_endpoint(sequence=6), 4.0)
-    assert not table.take(_endpoint(sequence=9), 4.0)
+    assert table.update(_endpoint(sequence=5), 1.0)
+    assert not table.update(_endpoint(sequence=6), 2.0)
+    assert table.update(_endpoint(sequence=7, state="draining"), 3.0)
+    assert not table.update(_endpoint(sequence=6), 4.0)
+    assert not table.update(_endpoint(sequence=9), 4.0)
     state = table.alive[types.EndpointId("i-1")].state
     assert state is endpoints.EndpointState.DRAINING
 
 
 def test_an_ended_endpoint_stays_ended() -> None:
     table = endpoints.EndpointTable()
-    table.take(_endpoint(), 1.0)
-    assert table.take(heartbeats.gone("i-1"), 2.0)
-    assert not table.take(_endpoint(sequence=9), 3.0)
+    table.update(_endpoint(), 1.0)
+    assert table.update(heartbeats.gone("i-1"), 2.0)
+    assert not table.update(_endpoint(sequence=9), 3.0)
     assert not table.alive
 
 
 def test_a_restarted_endpoint_replaces_its_forerunner() -> None:
     """A crash says nothing: the old id kept its place and got requests."""
     table = endpoints.EndpointTable()
-    table.take(_endpoint(ident="old", sequence=8), 1.0)
-    assert table.take(_endpoint(ident="new"), 2.0)
+    table.update(_endpoint(ident="old", sequence=8), 1.0)
+    assert table.update(_endpoint(ident="new"), 2.0)
     assert list(table.alive) == ["new"]
-    assert not table.take(_endpoint(ident="old", sequence=8), 3.0)
+    assert not table.update(_endpoint(ident="old", sequence=8), 3.0)
     assert list(table.alive) == ["new"]
 
 
 def test_an_endpoint_that_was_wrongly_dropped_comes_back() -> None:
     table = endpoints.EndpointTable()
-    table.take(_endpoint(ident="new", sequence=3), 1.0)
-    table.take(_endpoint(ident="ghost", sequence=1), 2.0)
-    assert table.take(_endpoint(ident="new", sequence=4), 3.0)
+    table.update(_endpoint(ident="new", sequence=3), 1.0)
+    table.update(_endpoint(ident="ghost", sequence=1), 2.0)
+    assert table.update(_endpoint(ident="new", sequence=4), 3.0)
     assert list(table.alive) == ["new"]
 
 
--- a/tests/test_routing_changes.py
+++ b/tests/test_routing_changes.py
@@ -57,22 +57,22 @@
     versions: list[dict[int, int]],
 ) -> None:
     docs = [document(at + 1, routes) for at, routes in enumerate(versions)]
-    steps = [changes.between(a, b) for a, b in zip(docs, docs[1:])]
+    steps = [changes.diff(a, b) for a, b in zip(docs, docs[1:])]
     for at, doc in enumerate(docs[:-1]):
-        change = changes.decode(changes.encode(changes.joined(steps[at:])))
-        assert says(table(changes.whole(doc), change), docs[-1])
-    change = changes.decode(changes.encode(changes.whole(docs[-1])))
-    assert says(table(changes.whole(docs[0]), change), docs[-1])
+        change = changes.decode(changes.encode(changes.merge(steps[at:])))
+        assert says(table(changes.from_empty(doc), change), docs[-1])
+    change = changes.decode(changes.encode(changes.from_empty(docs[-1])))
+    assert says(table(changes.from_empty(docs[0]), change), docs[-1])
     assert says(table(change), docs[-1])
 
 
 def test_a_change_that_does_not_fit_is_refused() -> None:
     docs = [document(at, {at: 1}) for at in (1, 2, 3)]
-    change = changes.between(docs[1], docs[2])
+    change = changes.diff(docs[1], docs[2])
     # The last has the version but other routes.
     other = [docs[0], document(2, {7: 1, 8: 1})]
     for doc in other:
-        found = table(changes.whole(doc))
+        found = table(changes.from_empty(doc))
         with pytest.raises(exceptions.RoutingError):
             found.apply(change)
         assert says(found, doc), "nothing was changed"
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"x", b"\x78\x01", b"\x93\x01\x02"])
 def test_bytes_that_are_no_change_are_refused(data: bytes) -> None:
-    good = changes.encode(changes.whole(document(1, {1: 1})))
+    good = changes.encode(changes.from_empty(document(1, {1: 1})))
     for bad in (data, good[:-3], good[:9] + b"\0" + good[10:]):
         with pytest.raises(exceptions.RoutingError):
             changes.decode(bad)
@@ -92,7 +92,7 @@
     """A feed that has had these."""
     found = routing_feed.RoutingFeed()
     for doc in docs:
-        found.put(doc)
+        found.publish(doc)
     return found
 
 
@@ -105,19 +105,21 @@
 
 def fetched(
     found: routing_feed.RoutingFeed, have: int
-) -> tuple[list[messages.RoutingPart], changes.Change]:
+) -> tuple[list[messages.RoutingChunk], changes.Change]:
     """All parts for who has a version, and the change that they make."""
-    parts: list[messages.RoutingPart] = []
-    asked = messages.Fetch(have=have)
+    parts: list[messages.RoutingChunk] = []
+    asked = messages.FetchRouting(held_version=have)
     while True:
-        part = found.part(asked)
+        part = found.chunk(asked)
         assert part is not None
         parts.append(part)
         offset = part.offset + len(part.data)
         if offset == part.size:
             data = b"".join(item.data for item in parts)
             return parts, changes.decode(data)
-        asked = messages.Fetch(have=have, digest=part.digest, offset=offset)
+        asked = messages.FetchRouting(
+            held_version=have, digest=part.digest, offset=offset
+        )
 
 
 def test_who_is_some_versions_behind_is_sent_the_change() -> None:
@@ -127,8 +129,8 @@
         _, change = fetched(found, doc.version)
         assert change.base == doc.version
         assert change.size == 9 - doc.version
-        assert says(table(changes.whole(doc), change), docs[-1])
-    assert found.part(messages.Fetch(have=9)) is None
+        assert says(table(changes.from_empty(doc), change), docs[-1])
+    assert found.chunk(messages.FetchRouting(held_version=9)) is None
 
 
 @pytest.mark.parametrize("have", [0, 4])
@@ -141,16 +143,18 @@
 
 def test_parts_are_small_and_go_on_through_a_newer_document() -> None:
     found = feed(many(1, 3000))
-    first = found.part(messages.Fetch(have=0))
+    first = found.chunk(messages.FetchRouting(held_version=0))
     assert first is not None
-    assert len(first.data) == routing_feed.PART_BYTES < first.size
-    found.put(many(2, 3001))
-    asked = messages.Fetch(have=0, digest=first.digest, offset=len(first.data))
-    second = found.part(asked)
+    assert len(first.data) == routing_feed.CHUNK_BYTES < first.size
+    found.publish(many(2, 3001))
+    asked = messages.FetchRouting(
+        held_version=0, digest=first.digest, offset=len(first.data)
+    )
+    second = found.chunk(asked)
     assert second is not None
     assert (second.digest, second.offset) == (first.digest, len(first.data))
     # One that has started again knows nothing of it, and begins anew.
-    other = feed(many(2, 3001)).part(asked)
+    other = feed(many(2, 3001)).chunk(asked)
     assert other is not None
     assert (other.version, other.offset) == (2, 0)
 
@@ -159,10 +163,10 @@
     """So that the rest of a transfer comes from any other one."""
     docs = [many(1, 3000), many(2, 6001)]
     parts, _ = fetched(feed(*docs), 0)
-    asked = messages.Fetch(
-        have=0, digest=parts[1].digest, offset=parts[1].offset
+    asked = messages.FetchRouting(
+        held_version=0, digest=parts[1].digest, offset=parts[1].offset
     )
-    assert feed(*docs).part(asked) == parts[1]
+    assert feed(*docs).chunk(asked) == parts[1]
 
 
 def test_memory_for_changes_is_bounded() -> None:
@@ -171,7 +175,7 @@
     assert change.base == 0
     _, change = fetched(found, 38)
     assert change.base == 0, "as many routes as the whole"
-    found.put(document(40, {at: 39 * 7 + at % 991 for at in range(901)}))
+    found.publish(document(40, {at: 39 * 7 + at % 991 for at in range(901)}))
     _, change = fetched(found, 39)
     assert (change.base, change.size) == (39, 1)
 
@@ -182,16 +186,18 @@
     """Hundreds of gateways ask for the same within a few milliseconds."""
     made = []
     encode = changes.encode
-    joined = changes.joined
+    joined = changes.merge
     monkeypatch.setattr(
         changes, "encode", lambda change: made.append("e") or encode(change)
     )
     monkeypatch.setattr(
-        changes, "joined", lambda steps: made.append("j") or joined(steps)
+        changes, "merge", lambda steps: made.append("j") or joined(steps)
     )
     docs = [document(v, {at: 1 for at in range(40 + v)}) for v in (3, 5, 9)]
     found = feed(*docs)
     for have in (3, 5, 0, 4) * 20:
-        assert found.part(messages.Fetch(have=have)) is not None
+        assert (
+            found.chunk(messages.FetchRouting(held_version=have)) is not None
+        )
     # From 3, from 5, and the whole for who has none or an unknown one.
     assert sorted(made) == ["e", "e", "e", "j", "j"]
--- a/tests/test_site_overview.py
+++ b/tests/test_site_overview.py
@@ -38,7 +38,7 @@
             shown = await run("routes")
             assert "site.example/gen/" in shown and "model:1" in shown
             assert len(shown.splitlines()) == 2 + 4
-            await site.operator.beat(11, site.decode[0], "draining")
+            await site.operator.send_heartbeat(11, site.decode[0], "draining")
             shown = await run("endpoints")
             lines = [row.split() for row in shown.splitlines()]
             states = {row[0]: row[3] for row in lines[1:]}
@@ -62,7 +62,9 @@
                 )
                 for number in range(3)
             )
-            site.coordinator.quarantine.take(messages.Suspicions(items=items))
+            site.coordinator.quarantine.receive(
+                messages.Suspicions(items=items)
+            )
             args = ["site", "held", "--coordinators", _address(site)]
             await asyncio.to_thread(cmd_operator.main, args)
             row = capsys.readouterr().out.splitlines()[1]
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -48,7 +48,7 @@
 
     async def slow(req: message.Request, responder: server.Responder) -> None:
         await go_on.wait()
-        responder.whole(200, platform_site.echoed(req), b"done")
+        responder.whole(200, platform_site.vouching_headers(req), b"done")
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -60,7 +60,7 @@
                 site.raw(test_gateway.request("/unsafe/x"))
             )
             await platform_site.until(
-                lambda: any(one.seen for one in site.plain)
+                lambda: any(one.requests for one in site.plain)
             )
             stop = asyncio.create_task(site.gateway.stop())
             await asyncio.sleep(0)
@@ -75,7 +75,7 @@
                 )
             )
             await platform_site.until(
-                lambda: sum(len(one.seen) for one in site.plain) == 2
+                lambda: sum(len(one.requests) for one in site.plain) == 2
             )
             assert not stop.done()
             go_on.set()
@@ -101,7 +101,7 @@
                 got = await site.raw(test_gateway.request(path))
                 assert test_gateway.status(got) == 503
                 assert b"retry-after" in got
-            assert not any(one.seen for one in site.endpoints)
+            assert not any(one.requests for one in site.endpoints)
             own.planned_stop = planned_stop.PlannedStop()
             await site.gateway.stop()
             assert own.planned_stop.ends_at < own.loop_time() + 8.0
@@ -137,7 +137,7 @@
             got = await site.raw(hinted(8))
             assert test_gateway.status(got) == 503
             assert b"retry-after: 0.05" in got
-            assert not site.prefill.seen
+            assert not site.prefill.requests
             # Nothing was full: elsewhere it comes as a new one.
             assert not own.refused.recent(own.loop_time())
             own.planned_stop.begin(own.loop_time() + 30.0)
@@ -165,7 +165,7 @@
             await asyncio.sleep(admission_queue._TRY_S + 0.1)
             got = await site.raw(hinted(8))
             assert test_gateway.status(got) == 503
-            assert not site.prefill.seen
+            assert not site.prefill.requests
 
     asyncio.run(main())
 
@@ -178,7 +178,9 @@
 
         def put(version: int) -> bool:
             text = json.dumps(platform_site.document(version)).encode()
-            return site.apply_routing(changes.whole(documents.decode(text)))
+            return site.apply_routing(
+                changes.from_empty(documents.decode(text))
+            )
 
         assert put(5)
         assert not put(4)
@@ -200,8 +202,8 @@
             )
             for at, more in ((1, {"routes": []}), (2, {}))
         )
-        assert site.apply_routing(changes.whole(bare))
-        assert site.apply_routing(changes.between(bare, full))
+        assert site.apply_routing(changes.from_empty(bare))
+        assert site.apply_routing(changes.diff(bare, full))
         assert site.version == 2
 
     asyncio.run(main())
@@ -270,7 +272,9 @@
 
     async def main() -> None:
         site = alone(tmp_path)
-        other = messages.GatewayAddress(vm=types.VmId("g2"), loads="h:1")
+        other = messages.GatewayAddress(
+            vm=types.VmId("g2"), load_address="h:1"
+        )
         use = {types.EndpointId("a"): endpoint_load.Use(requests=3)}
         site.set_gateways([other])
         site.loads.take(other.vm, 1, 1, use, site.loop_time())
@@ -289,16 +293,16 @@
 def test_all_that_a_gateway_tells_is_taken(tmp_path: pathlib.Path) -> None:
     async def main() -> None:
         site = alone(tmp_path)
-        told = messages.Loads(
+        told = messages.GatewayLoad(
             vm=types.VmId("g2"),
-            loads="127.0.0.1:1",
-            life=1,
-            number=1,
-            uses={},
-            first=(queue_order.Left(priority=0, slack_s=0.1, start_s=3.0),),
-            refused=(11,),
-            broken=(types.EndpointId("a"),),
-            full=(types.EndpointId("b"),),
+            load_address="127.0.0.1:1",
+            incarnation=1,
+            sequence=1,
+            loads={},
+            waiting=(queue_order.Left(priority=0, slack_s=0.1, start_s=3.0),),
+            refused_keys=(11,),
+            failed=(types.EndpointId("a"),),
+            rejecting=(types.EndpointId("b"),),
         )
         share = load_exchange.LoadExchange(site=site)
         share.datagram_received(codec.encode(told), None)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -241,7 +241,7 @@
     disk, _ = coordinator_disk.open_disk(
         tmp_path, host="h", first_hosts=("h",)
     )
-    patient = coordinator_disk.PatientDisk(disk=disk)
+    patient = coordinator_disk.RetryingDisk(disk=disk)
     sync = os.fdatasync
     failures = [3]
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -75,7 +75,7 @@
     assert clocks.passed_s == [_SUSPENDED_S, _SUSPENDED_S]
 
 
-class _SlowOrders(role_orders.OrderGiver):
+class _SlowOrders(role_orders.OrderSender):
     """An endpoint's report comes just before the VM is suspended."""
 
     def __init__(self, *, clocks: _Clocks) -> None:
@@ -115,10 +115,10 @@
     async def main() -> None:
         giver = _SlowOrders(clocks=clocks)
         until = asyncio.get_running_loop().time() + 3.0
-        given = await giver.give(
+        given = await giver.send_order(
             endpoint, types.Role.PREFILL, types.Fence(1), until=until
         )
-        assert given is role_orders.Given.REFUSED
+        assert given is role_orders.OrderOutcome.REFUSED
         assert giver.methods == [b"GET"]
 
     clock.run(main())
