--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -18,7 +18,7 @@
 from rackpost import types
 
 
-class OpenBook(reservations.Book):
+class OpenBook(reservations.EndpointLedger):
     """Takes any work at once and leaves the queueing to the engine.
 
     Work is refused only when the queue at the engine is longer than
@@ -30,8 +30,8 @@
     ) -> None:
         super().__init__(spec=spec)
         self._limit = queue_limit
-        self._cost: dict[slots.Key, float] = {}
-        self._ready: list[slots.Key] = []
+        self._cost: dict[slots.AttemptKey, float] = {}
+        self._ready: list[slots.AttemptKey] = []
         self._step_s = spec.step_s
 
     def _room(self) -> int:
@@ -39,9 +39,9 @@
             return self._limit
         return self.spec.slots + self._limit
 
-    def promise(
-        self, msg: messages.Reserve, key: slots.Key, now: float
-    ) -> reservations.Promise | types.Refusal:
+    def reserve(
+        self, msg: messages.Reserve, key: slots.AttemptKey, now: float
+    ) -> reservations.ReservationTerms | types.Refusal:
         """Take the work unless the queue is full."""
         if self.leaving:
             return types.Refusal.LEAVING
@@ -54,14 +54,14 @@
             rate = self.spec.prefill_tokens_s
             self._cost[key] = self.spec.prefill_base_s
             self._cost[key] += msg.prompt_tokens / rate
-        return reservations.Promise(0.0, 0)
+        return reservations.ReservationTerms(0.0, 0)
 
-    def ready(self, key: slots.Key) -> None:
+    def mark_ready(self, key: slots.AttemptKey) -> None:
         """Hand it over at once."""
         if key in self._cost:
             self._ready.append(key)
 
-    def next_start(self, now: float) -> slots.Key | None:
+    def next_start(self, now: float) -> slots.AttemptKey | None:
         """The oldest that is ready."""
         while self._ready:
             key = self._ready.pop(0)
@@ -69,17 +69,19 @@
                 return key
         return None
 
-    def progress(
-        self, key: slots.Key, done: int, step_s: float, now: float
+    def record_progress(
+        self, key: slots.AttemptKey, done: int, step_s: float, now: float
     ) -> None:
         """Follow the time between tokens."""
         if done > 1:
             self._step_s += 0.02 * (step_s - self._step_s)
 
-    def prefilled(self, key: slots.Key, took_s: float) -> None:
+    def record_prefill(self, key: slots.AttemptKey, took_s: float) -> None:
         """Nothing is learned."""
 
-    def end(self, key: slots.Key, now: float, *, whole: bool) -> None:
+    def release(
+        self, key: slots.AttemptKey, now: float, *, completed: bool
+    ) -> None:
         """The attempt is over."""
         self._cost.pop(key, None)
 
@@ -113,23 +115,23 @@
     def place(
         self,
         *,
-        ask: endpoint_view.Ask,
+        requirements: endpoint_view.Requirements,
         pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> placement.Placement | types.Refusal:
         """Choose a prefill endpoint, then a decode endpoint."""
-        prefills = placement.by_role(pool, types.Role.PREFILL, excluded)
-        decodes = placement.by_role(pool, types.Role.DECODE, excluded)
+        prefills = placement.eligible(pool, types.Role.PREFILL, excluded)
+        decodes = placement.eligible(pool, types.Role.DECODE, excluded)
         if not prefills or not decodes:
             return types.Refusal.NO_ENDPOINT
-        pre = self._prefill(ask, prefills, now)
+        pre = self._prefill(requirements, prefills, now)
         dec = self._decode(decodes)
         return placement.Placement(pre.agent, dec.agent, 0.0, 0.0)
 
     def _prefill(
         self,
-        ask: endpoint_view.Ask,
+        ask: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> endpoint_view.EndpointView:
@@ -149,7 +151,7 @@
 
     def _prefill(
         self,
-        ask: endpoint_view.Ask,
+        ask: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> endpoint_view.EndpointView:
@@ -167,7 +169,7 @@
 
     def _prefill(
         self,
-        ask: endpoint_view.Ask,
+        ask: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> endpoint_view.EndpointView:
@@ -179,12 +181,12 @@
 
     def _prefill(
         self,
-        ask: endpoint_view.Ask,
+        ask: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> endpoint_view.EndpointView:
         def cost(view: endpoint_view.EndpointView) -> float:
-            cached = view.hints.match(ask.blocks) * prefix.BLOCK_TOKENS
+            cached = view.prefix_hints.match(ask.blocks) * prefix.BLOCK_TOKENS
             rest = max(1, ask.prompt_tokens - cached)
             queue = view.backlog_s(now)
             transfer = ask.kv_bytes / view.load.link_bytes_s
--- a/lab/cases.py
+++ b/lab/cases.py
@@ -206,7 +206,7 @@
             early, size = _DECLARED[self.case.load]
             rate = size * RUSH_SHARE * full_rate(self.deployment)
             site.events.append(
-                declared_events.Declared(
+                declared_events.DeclaredEvent(
                     RUSH_AT + early,
                     RUSH_S,
                     (types.KindName(self.deployment.rush),),
@@ -218,9 +218,11 @@
             site.add_entry(f"e{idx}", centre, self._policy(site, idx))
         return site
 
-    def _book(self, spec: reservations.EndpointSpec) -> reservations.Book:
+    def _book(
+        self, spec: reservations.EndpointSpec
+    ) -> reservations.EndpointLedger:
         if self.case.policy == PRODUCT or spec.role is types.Role.PLAIN:
-            return reservations.PromiseBook(spec=spec)
+            return reservations.ReservationLedger(spec=spec)
         limit = _DECODE_QUEUE
         if spec.role is types.Role.PREFILL:
             limit = _PREFILL_LIMITS[self.case.deployment]
--- a/lab/promises.py
+++ b/lab/promises.py
@@ -92,8 +92,8 @@
         "test_path.py::test_a_planned_stop_cuts_nothing_and_takes_nothing"
         "_new",
         "rackpost/agent/core.py",
-        "        self.book.leaving = True\n",
-        "        self.book.leaving = True\n        self.close()\n",
+        "        self.ledger.leaving = True\n",
+        "        self.ledger.leaving = True\n        self.close()\n",
     ),
     Mechanism(
         "A configuration that has been accepted never reverts",
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -67,8 +67,8 @@
     return found
 
 
-def _ask() -> endpoint_view.Ask:
-    return endpoint_view.Ask(
+def _ask() -> endpoint_view.Requirements:
+    return endpoint_view.Requirements(
         service=types.ServiceName("s"),
         kind=types.KindName("k"),
         prompt_tokens=2000,
@@ -90,7 +90,7 @@
         times = []
         for _ in range(600):
             began = time.perf_counter()
-            policy.place(ask=ask, pool=pool, now=1.0)
+            policy.place(requirements=ask, pool=pool, now=1.0)
             times.append((time.perf_counter() - began) * 1e6)
         times.sort()
         found[count] = (times[len(times) // 2], times[int(len(times) * 0.99)])
@@ -103,20 +103,22 @@
     for count in (500, 1000, 2000):
 
         def work() -> None:
-            kept = reservations.PromiseBook(
+            kept = reservations.ReservationLedger(
                 spec=reservations.EndpointSpec(role=types.Role.DECODE)
             )
             for idx in range(count):
-                key = slots.Key(types.RequestId(f"r{idx}"), types.Attempt(1))
-                kept.promise(_reserve(idx), key, idx * 0.01)
-                kept.ready(key)
+                key = slots.AttemptKey(
+                    types.RequestId(f"r{idx}"), types.Attempt(1)
+                )
+                kept.reserve(_reserve(idx), key, idx * 0.01)
+                kept.mark_ready(key)
                 kept.next_start(idx * 0.01)
                 kept.load(idx * 0.01)
                 if idx >= 18:
-                    old = slots.Key(
+                    old = slots.AttemptKey(
                         types.RequestId(f"r{idx - 18}"), types.Attempt(1)
                     )
-                    kept.end(old, idx * 0.01, whole=True)
+                    kept.release(old, idx * 0.01, completed=True)
 
         points.append((float(count), measure.cpu_of(work)))
     return points
@@ -163,11 +165,11 @@
     for rate in (5, 10, 20, 40):
 
         def work() -> None:
-            seen = demand.Demand()
+            seen = demand.DemandEstimator()
             for idx in range(2000):
                 offer = demand.Offer(idx / rate, idx % 7, 0.05, 0.5)
-                seen.offered(types.KindName("k"), offer)
-                seen.above(offer)
+                seen.record_offer(types.KindName("k"), offer)
+                seen.higher_density_than(offer)
 
         points.append((float(rate), measure.cpu_of(work) / 2000))
     return points
--- a/rackpost/agent/answers.py
+++ b/rackpost/agent/answers.py
@@ -49,7 +49,7 @@
         if self._size <= _MAX_ONE:
             self._body.append(data)
 
-    def whole(self, key: slots.Key) -> messages.Held | None:
+    def whole(self, key: slots.AttemptKey) -> messages.Held | None:
         """The answer; None if it was too large to hold."""
         if self._size > _MAX_ONE:
             return None
@@ -68,10 +68,12 @@
     """The latest answers, bounded in bytes and in age."""
 
     def __init__(self) -> None:
-        self._held: OrderedDict[slots.Key, _Held] = OrderedDict()
+        self._held: OrderedDict[slots.AttemptKey, _Held] = OrderedDict()
         self._size = 0
 
-    def hold(self, key: slots.Key, collected: Collector, now: float) -> None:
+    def hold(
+        self, key: slots.AttemptKey, collected: Collector, now: float
+    ) -> None:
         """Hold a whole answer, dropping the oldest for room."""
         answer = collected.whole(key)
         if answer is None:
@@ -85,9 +87,11 @@
 
     def _must_drop(self, now: float) -> bool:
         oldest = next(iter(self._held.values()))
-        return self._size > _MAX_BYTES or oldest.at < now - attempts.KEEP_S
+        return (
+            self._size > _MAX_BYTES or oldest.at < now - attempts.RETENTION_S
+        )
 
-    def get(self, key: slots.Key) -> messages.Held:
+    def get(self, key: slots.AttemptKey) -> messages.Held:
         """The answer, or the word that it is not held."""
         found = self._held.get(key)
         if found is not None:
--- a/rackpost/agent/attempts.py
+++ b/rackpost/agent/attempts.py
@@ -11,7 +11,7 @@
 from rackpost.link import messages
 
 # Ended attempts are remembered for longer than a claim runs, in seconds.
-KEEP_S = 900.0
+RETENTION_S = 900.0
 
 Run = Union[messages.RunPrefill, messages.RunDecode, messages.RunCall]
 
@@ -29,7 +29,7 @@
     """An attempt that is promised or runs here."""
 
     def __init__(
-        self, *, key: slots.Key, asked: messages.Reserve, session: Any
+        self, *, key: slots.AttemptKey, asked: messages.Reserve, session: Any
     ) -> None:
         self.key = key
         self.asked = asked
@@ -68,24 +68,24 @@
     at: float
 
 
-class SealMemory:
+class EndedAttempts:
     """How ended attempts ended; what is here is never handed over."""
 
     def __init__(self) -> None:
-        self._ended: collections.OrderedDict[slots.Key, _Ended] = (
+        self._ended: collections.OrderedDict[slots.AttemptKey, _Ended] = (
             collections.OrderedDict()
         )
 
     def __len__(self) -> int:
         return len(self._ended)
 
-    def add(self, key: slots.Key, ending: Ending, now: float) -> None:
+    def add(self, key: slots.AttemptKey, ending: Ending, now: float) -> None:
         """The attempt is over; its first ending stays."""
         self._ended.setdefault(key, _Ended(ending, now))
-        while next(iter(self._ended.values())).at < now - KEEP_S:
+        while next(iter(self._ended.values())).at < now - RETENTION_S:
             self._ended.popitem(last=False)
 
-    def ending(self, key: slots.Key) -> Ending | None:
+    def ending(self, key: slots.AttemptKey) -> Ending | None:
         """How the attempt ended; None if it has not, or is forgotten."""
         found = self._ended.get(key)
         return found.ending if found is not None else None
--- a/rackpost/agent/core.py
+++ b/rackpost/agent/core.py
@@ -59,7 +59,7 @@
     def __init__(self, *, conn: channel.Channel) -> None:
         self.conn = conn
         self.peer = ""
-        self.keys: set[slots.Key] = set()
+        self.keys: set[slots.AttemptKey] = set()
         self.spoke_at = 0.0
         self.told: messages.Load | None = None
 
@@ -67,8 +67,8 @@
 class Agent(running_mod.Host):
     """Serves reservations and attempts for one endpoint.
 
-    `behind` is told of each revision that an entry runs on, so that a
-    newer one is fetched.
+    `on_peer_revision` is told of each revision that an entry runs on, so that
+    a newer one is fetched.
     """
 
     def __init__(
@@ -76,19 +76,23 @@
         *,
         cfg: AgentConfig,
         engine: engine_mod.Engine,
-        book: reservations_mod.Book,
+        ledger: reservations_mod.EndpointLedger,
         metrics: metrics_mod.Metrics | None = None,
-        behind: Callable[[types.Revision], object] = lambda revision: None,
+        on_peer_revision: Callable[
+            [types.Revision], object
+        ] = lambda revision: None,
     ) -> None:
         self.cfg = cfg
-        self._behind = behind
-        self.book = book
+        self._behind = on_peer_revision
+        self.ledger = ledger
         self.metrics = metrics or metrics_mod.Metrics()
         self._engine = engine
-        self._runner = running_mod.Runner(engine=engine, book=book, host=self)
+        self._runner = running_mod.Runner(
+            engine=engine, book=ledger, host=self
+        )
         self._sessions: set[Session] = set()
-        self._attempts: dict[slots.Key, attempts.Attempt] = {}
-        self._sealed = attempts.SealMemory()
+        self._attempts: dict[slots.AttemptKey, attempts.Attempt] = {}
+        self._sealed = attempts.EndedAttempts()
         self._answers = answers.HeldAnswers()
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -111,7 +115,7 @@
                 peer=self.cfg.agent,
                 incarnation=self.cfg.incarnation,
                 data_centre=self.cfg.data_centre,
-                revision=self.book.revision,
+                revision=self.ledger.revision,
             )
         )
         conn.send(messages.Summary(load=self.load()))
@@ -130,10 +134,10 @@
         elif isinstance(msg, messages.Seal):
             self._on_seal(session, msg)
         elif isinstance(msg, messages.Fetch):
-            key = slots.Key(msg.req, msg.attempt)
+            key = slots.AttemptKey(msg.req, msg.attempt)
             session.conn.send(self._answers.get(key))
         elif isinstance(msg, messages.Release):
-            self._give_up(slots.Key(msg.req, msg.attempt))
+            self._give_up(slots.AttemptKey(msg.req, msg.attempt))
         elif isinstance(msg, messages.Credit):
             self._on_credit(msg)
         else:
@@ -143,13 +147,13 @@
 
     def _on_reserve(self, session: Session, msg: messages.Reserve) -> None:
         self._behind(msg.revision)
-        key = slots.Key(msg.req, msg.attempt)
+        key = slots.AttemptKey(msg.req, msg.attempt)
         if self._sealed.ending(key) is not None:
-            made: reservations_mod.Promise | types.Refusal = (
+            made: reservations_mod.ReservationTerms | types.Refusal = (
                 types.Refusal.DEADLINE
             )
         else:
-            made = self.book.promise(msg, key, self._loop.time())
+            made = self.ledger.reserve(msg, key, self._loop.time())
         if isinstance(made, types.Refusal):
             self.metrics.count("refused", made, msg.kind)
             reply: msgspec.Struct = messages.Refused(
@@ -181,7 +185,7 @@
             ),
         )
 
-    def _expire(self, key: slots.Key) -> None:
+    def _expire(self, key: slots.AttemptKey) -> None:
         att = self._attempts.get(key)
         if att is None or att.state is not attempts.State.PROMISED:
             return
@@ -194,19 +198,19 @@
         ):
             self.metrics.count("dropped", types.Drop.BAD_FRAME)
             return
-        att = self._attempts.get(slots.Key(msg.req, msg.attempt))
+        att = self._attempts.get(slots.AttemptKey(msg.req, msg.attempt))
         if att is None or att.state is not attempts.State.PROMISED:
             self.metrics.count("dropped", types.Drop.UNKNOWN_REQUEST)
             return
         att.take(msg)
-        self.book.ready(att.key)
+        self.ledger.mark_ready(att.key)
         self.start_ready()
 
     def start_ready(self) -> None:
         """Start what may be started now."""
         now = self._loop.time()
         while True:
-            key = self.book.next_start(now)
+            key = self.ledger.next_start(now)
             if key is None:
                 self._wake_later(now)
                 return
@@ -218,7 +222,7 @@
             att.task = self._spawn(self._run(att))
 
     def _wake_later(self, now: float) -> None:
-        wait = self.book.wake_in_s(now)
+        wait = self.ledger.wake_in_s(now)
         if self._waker is not None:
             self._waker.cancel()
             self._waker = None
@@ -240,7 +244,9 @@
             ran = exc.ran or att.spent_s > 0.0
             if exc.backoff_s > 0.0:
                 # Entries choose others until then, for what was promised too.
-                self.book.health.asked(exc.backoff_s, self._loop.time())
+                self.ledger.health.record_backoff(
+                    exc.backoff_s, self._loop.time()
+                )
             self._fail(att, running_mod.failure_of(exc), ran=ran)
         except Exception as exc:
             # A fault of ours must not leave the attempt held for ever.
@@ -258,12 +264,12 @@
                 # The engine is told even when this task is cancelled.
                 self._spawn(self._abort(att.key))
 
-    async def _abort(self, key: slots.Key) -> None:
+    async def _abort(self, key: slots.AttemptKey) -> None:
         with contextlib.suppress(exceptions.EngineError):
             await self._engine.abort(key=key)
 
     def _on_credit(self, msg: messages.Credit) -> None:
-        att = self._attempts.get(slots.Key(msg.req, msg.attempt))
+        att = self._attempts.get(slots.AttemptKey(msg.req, msg.attempt))
         if att is not None:
             att.taken = max(att.taken, msg.taken)
             att.credited.set()
@@ -290,8 +296,10 @@
         self, att: attempts.Attempt, reason: types.Failure, *, ran: bool
     ) -> None:
         now = self._loop.time()
-        if reason in _ENDPOINTS_FAULT and not self.book.health.asks(now):
-            self.book.health.failed(now)
+        if reason in _ENDPOINTS_FAULT and not self.ledger.health.in_backoff(
+            now
+        ):
+            self.ledger.health.record_failure(now)
         self.finish(att, whole=False)
         self.metrics.count("failed", reason, att.asked.kind)
         self.say(
@@ -321,12 +329,12 @@
             att.lease.cancel()
         self._attempts.pop(att.key, None)
         att.session.keys.discard(att.key)
-        self.book.end(att.key, self._loop.time(), whole=whole)
+        self.ledger.release(att.key, self._loop.time(), completed=whole)
         self.start_ready()
         if not self._attempts:
             self._idle.set()
 
-    def _give_up(self, key: slots.Key) -> None:
+    def _give_up(self, key: slots.AttemptKey) -> None:
         att = self._attempts.get(key)
         if att is None:
             return
@@ -336,7 +344,7 @@
             task.cancel()
 
     def _on_seal(self, session: Session, msg: messages.Seal) -> None:
-        key = slots.Key(msg.req, msg.attempt)
+        key = slots.AttemptKey(msg.req, msg.attempt)
         att = self._attempts.get(key)
         if att is not None and att.state is not attempts.State.RUNNING:
             self.finish(att, whole=False)
@@ -361,7 +369,7 @@
 
     def load(self) -> messages.Load:
         """The endpoint's present load."""
-        return self.book.load(self._loop.time())
+        return self.ledger.load(self._loop.time())
 
     def say(self, session: Any, msg: msgspec.Struct) -> None:
         """Send a message over a session's link."""
@@ -389,18 +397,18 @@
         """Give promises back while another endpoint can still keep them."""
         while True:
             await asyncio.sleep(_CHECK_S)
-            for key in self.book.lost(self._loop.time()):
+            for key in self.ledger.infeasible(self._loop.time()):
                 att = self._attempts.get(key)
                 if att is not None:
                     self._fail(att, types.Failure.DEADLINE, ran=False)
 
     async def _read_cache_events(self) -> None:
-        if self.book.role is types.Role.PLAIN:
+        if self.ledger.role is types.Role.PLAIN:
             return
         with contextlib.suppress(exceptions.EngineError):
             seen = await self._engine.events()
-            if isinstance(self.book, reservations_mod.PromiseBook):
-                self.book.cache_events(seen.stored, seen.removed)
+            if isinstance(self.ledger, reservations_mod.ReservationLedger):
+                self.ledger.record_cache_events(seen.stored, seen.removed)
 
     def _say_summaries(self) -> None:
         now = self._loop.time()
@@ -416,7 +424,7 @@
 
     def leave(self) -> None:
         """Refuse new promises at once and tell every entry so."""
-        self.book.leaving = True
+        self.ledger.leaving = True
         msg = messages.Summary(load=self.load())
         for session in list(self._sessions):
             self.say(session, msg)
--- a/rackpost/agent/engine.py
+++ b/rackpost/agent/engine.py
@@ -49,13 +49,13 @@
 
     @abc.abstractmethod
     async def prefill(
-        self, *, key: slots.Key, body: bytes, priority: int
+        self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> PrefillResult:
         """Run a prefill and keep its KV cache for export."""
 
     @abc.abstractmethod
     async def warm(
-        self, *, key: slots.Key, body: bytes, priority: int
+        self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> None:
         """Have a prompt's prefix cached; nothing is kept for export."""
 
@@ -63,7 +63,7 @@
     def decode(
         self,
         *,
-        key: slots.Key,
+        key: slots.AttemptKey,
         body: bytes,
         kv: dict[str, Any] | None,
         offset: int,
@@ -72,14 +72,14 @@
         """Import `kv` and stream the pieces of the answer."""
 
     @abc.abstractmethod
-    async def abort(self, *, key: slots.Key) -> None:
+    async def abort(self, *, key: slots.AttemptKey) -> None:
         """Stop the work of an attempt and free its memory."""
 
     @abc.abstractmethod
     def call(
         self,
         *,
-        key: slots.Key,
+        key: slots.AttemptKey,
         method: str,
         path: str,
         query: str,
--- a/rackpost/agent/engine_http.py
+++ b/rackpost/agent/engine_http.py
@@ -85,7 +85,7 @@
     events: list[_Event]
 
 
-def end_to_end(
+def end_to_end_headers(
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
     """The headers that are passed on; hop-by-hop ones are dropped."""
@@ -103,7 +103,7 @@
     )
 
 
-def _name_of(key: slots.Key) -> str:
+def _name_of(key: slots.AttemptKey) -> str:
     return f"{key.req}.{key.attempt}"
 
 
@@ -165,7 +165,7 @@
         )
 
     async def prefill(
-        self, *, key: slots.Key, body: bytes, priority: int
+        self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> engine.PrefillResult:
         """Run a prefill with the KV cache kept for a remote decode."""
         req = msgspec.json.decode(body)
@@ -184,7 +184,7 @@
         )
 
     async def warm(
-        self, *, key: slots.Key, body: bytes, priority: int
+        self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> None:
         """Run a prompt for one token, which leaves its prefix cached."""
         req = msgspec.json.decode(body)
@@ -196,7 +196,7 @@
             await resp.read()
 
     def _post(
-        self, key: slots.Key, req: dict[str, Any], **headers: str
+        self, key: slots.AttemptKey, req: dict[str, Any], **headers: str
     ) -> contextlib.AbstractAsyncContextManager[aiohttp.ClientResponse]:
         chat = "messages" in req
         return self._call(
@@ -213,7 +213,7 @@
     async def decode(
         self,
         *,
-        key: slots.Key,
+        key: slots.AttemptKey,
         body: bytes,
         kv: dict[str, Any] | None,
         offset: int,
@@ -231,7 +231,7 @@
             async for text in _pieces(resp):
                 yield text
 
-    async def abort(self, *, key: slots.Key) -> None:
+    async def abort(self, *, key: slots.AttemptKey) -> None:
         """Abort a request; engines also do so when a call is closed."""
         payload = msgspec.json.encode({"request_ids": [_name_of(key)]})
         async with self._call("POST", "/abort_requests", data=payload):
@@ -240,7 +240,7 @@
     async def call(
         self,
         *,
-        key: slots.Key,
+        key: slots.AttemptKey,
         method: str,
         path: str,
         query: str,
@@ -253,12 +253,15 @@
             method,
             target,
             data=body or None,
-            headers=[*end_to_end(headers), ("X-Request-Id", _name_of(key))],
+            headers=[
+                *end_to_end_headers(headers),
+                ("X-Request-Id", _name_of(key)),
+            ],
             allow_redirects=False,
         ) as resp:
             yield engine.CallHead(
                 status=resp.status,
-                headers=end_to_end(tuple(resp.headers.items())),
+                headers=end_to_end_headers(tuple(resp.headers.items())),
             )
             async for part in resp.content.iter_chunked(_PART_BYTES):
                 yield part
--- a/rackpost/agent/orders.py
+++ b/rackpost/agent/orders.py
@@ -18,7 +18,7 @@
 from rackpost import types
 
 
-class Verdict(enum.Enum):
+class OrderResult(enum.Enum):
     """What became of an order."""
 
     GIVEN = "given"
@@ -42,7 +42,7 @@
         return True
 
 
-class Orders:
+class OrderExecutor:
     """Gives the orders for one agent to its endpoint, one at a time."""
 
     def __init__(
@@ -69,10 +69,10 @@
             return
         member = change.member
         if member is None or member.incarnation != self._incarnation:
-            self._metrics.count("orders", Verdict.OLD_INCARNATION)
+            self._metrics.count("orders", OrderResult.OLD_INCARNATION)
             return
         if not self._gate.passes(change.fence):
-            self._metrics.count("orders", Verdict.OLD_FENCE)
+            self._metrics.count("orders", OrderResult.OLD_FENCE)
             return
         task = asyncio.create_task(self._give(change.fence, change.order))
         self._tasks.add(task)
@@ -82,7 +82,7 @@
         async with self._turn:
             if what == "leave":
                 self._agent.leave()
-                verdict = Verdict.GIVEN
+                verdict = OrderResult.GIVEN
             else:
                 verdict = await self._to_endpoint(fence, what)
         self._metrics.count("orders", verdict)
@@ -94,9 +94,9 @@
             verdict=verdict.value,
         )
 
-    async def _to_endpoint(self, fence: types.Fence, what: str) -> Verdict:
+    async def _to_endpoint(self, fence: types.Fence, what: str) -> OrderResult:
         try:
             taken = await self._engine.order(fence=fence, what=what)
         except exceptions.EngineError:
-            return Verdict.ENDPOINT_FAILED
-        return Verdict.GIVEN if taken else Verdict.ENDPOINT_REFUSED
+            return OrderResult.ENDPOINT_FAILED
+        return OrderResult.GIVEN if taken else OrderResult.ENDPOINT_REFUSED
--- a/rackpost/agent/process.py
+++ b/rackpost/agent/process.py
@@ -32,7 +32,7 @@
         self.incarnation = types.Incarnation(time.time_ns())
         self._engine = engine_http.HttpEngine(url=opts.endpoint)
         role = opts.parsed_role()
-        self.book = reservations.PromiseBook(
+        self.ledger = reservations.ReservationLedger(
             spec=reservations.EndpointSpec(
                 role=role,
                 slots=opts.slots,
@@ -49,12 +49,12 @@
                 incarnation=self.incarnation,
             ),
             engine=self._engine,
-            book=self.book,
+            ledger=self.ledger,
             metrics=self.metrics,
-            behind=self._on_peer_revision,
+            on_peer_revision=self._on_peer_revision,
         )
         self.client: client_mod.ControlClient | None = None
-        self.orders: orders.Orders | None = None
+        self.orders: orders.OrderExecutor | None = None
 
     def _client(self, port: int) -> client_mod.ControlClient:
         opts = self.opts
@@ -68,7 +68,7 @@
             service=types.ServiceName(opts.service),
             role=opts.parsed_role(),
         )
-        self.orders = orders.Orders(
+        self.orders = orders.OrderExecutor(
             name=opts.name,
             incarnation=self.incarnation,
             agent=self.agent,
@@ -92,7 +92,7 @@
 
     def _changed(self) -> None:
         assert self.client is not None
-        self.book.revision = self.client.in_force.revision
+        self.ledger.revision = self.client.in_force.revision
 
     def _on_peer_revision(self, revision: types.Revision) -> None:
         if self.client is not None:
--- a/rackpost/agent/prompt_chunks.py
+++ b/rackpost/agent/prompt_chunks.py
@@ -13,7 +13,7 @@
 from rackpost.decide import prefix
 
 
-def cut_body(body: bytes, tokens: int) -> bytes:
+def truncate_prompt(body: bytes, tokens: int) -> bytes:
     """The request with only about the first `tokens` of its prompt."""
     room = tokens * prefix.BYTES_PER_TOKEN
     req: dict[str, Any] = msgspec.json.decode(body)
--- a/rackpost/agent/running.py
+++ b/rackpost/agent/running.py
@@ -60,7 +60,7 @@
         self,
         *,
         engine: engine_mod.Engine,
-        book: reservations_mod.Book,
+        book: reservations_mod.EndpointLedger,
         host: Host,
     ) -> None:
         self._engine = engine
@@ -81,16 +81,18 @@
         self, att: attempts.Attempt, run: messages.RunPrefill
     ) -> None:
         done = att.reuse_tokens
-        while (part := self._book.part_tokens(att.key)) is not None:
+        while (part := self._book.chunk_tokens(att.key)) is not None:
             done += part
-            await self._run_part(att, prompt_chunks.cut_body(run.body, done))
+            await self._run_part(
+                att, prompt_chunks.truncate_prompt(run.body, done)
+            )
         result = await self._timed(
             att,
             self._engine.prefill(
                 key=att.key, body=run.body, priority=att.asked.priority
             ),
         )
-        self._book.prefilled(att.key, att.spent_s)
+        self._book.record_prefill(att.key, att.spent_s)
         self._went_well()
         self._host.finish(att, whole=True)
         self._host.say(
@@ -112,7 +114,7 @@
             ),
         )
         att.turn.clear()
-        self._book.part_done(att.key)
+        self._book.chunk_done(att.key)
         self._host.start_ready()
         await att.turn.wait()
 
@@ -151,7 +153,7 @@
                 count += 1
                 if count == 1:
                     self._went_well()
-                self._book.progress(
+                self._book.record_progress(
                     att.key, run.offset + count, now - last, now
                 )
                 last = now
@@ -221,7 +223,7 @@
                 raise _SlowReader() from None
 
     def _went_well(self) -> None:
-        self._book.health.succeeded(
+        self._book.health.record_success(
             took_s=0.0, predicted_s=1.0, now=self._loop.time()
         )
 
--- a/rackpost/decide/capacity.py
+++ b/rackpost/decide/capacity.py
@@ -12,20 +12,20 @@
 _LEAST_COST_S = 1e-6
 
 
-class Capacity(NamedTuple):
+class PoolCapacity(NamedTuple):
     """A pool: its endpoints, and what they do together in a second."""
 
-    prefills: int
-    decodes: int
+    prefill_endpoints: int
+    decode_endpoints: int
     prefill_tokens_s: float
     prefill_base_s: float
     slot_tokens_s: float
 
     def prefill_s(self, tokens: int) -> float:
         """Seconds of one endpoint that a prefill of `tokens` takes."""
-        if not self.prefills:
+        if not self.prefill_endpoints:
             return 0.0
-        each = self.prefill_tokens_s / self.prefills
+        each = self.prefill_tokens_s / self.prefill_endpoints
         return self.prefill_base_s + tokens / each
 
     def cost(self, prefill_s: float, max_tokens: int) -> float:
@@ -33,12 +33,16 @@
 
         Of its two halves the one that takes the larger share counts.
         """
-        pre = prefill_s / self.prefills if self.prefills else 0.0
-        dec = max_tokens / self.slot_tokens_s if self.decodes else 0.0
+        pre = (
+            prefill_s / self.prefill_endpoints
+            if self.prefill_endpoints
+            else 0.0
+        )
+        dec = max_tokens / self.slot_tokens_s if self.decode_endpoints else 0.0
         return max(pre, dec, _LEAST_COST_S)
 
 
-def of(pool: Sequence[endpoint_view.EndpointView]) -> Capacity:
+def of_pool(pool: Sequence[endpoint_view.EndpointView]) -> PoolCapacity:
     """The capacity of all endpoints of a service that are not leaving."""
     prefills = decodes = 0
     tokens_s = base_s = slot_tokens_s = 0.0
@@ -53,9 +57,9 @@
         elif load.role is types.Role.DECODE:
             decodes += 1
             slot_tokens_s += load.slots / load.step_s
-    return Capacity(
-        prefills=prefills,
-        decodes=decodes,
+    return PoolCapacity(
+        prefill_endpoints=prefills,
+        decode_endpoints=decodes,
         prefill_tokens_s=tokens_s,
         prefill_base_s=base_s / max(1, prefills),
         slot_tokens_s=slot_tokens_s,
--- a/rackpost/decide/circuit_breaker.py
+++ b/rackpost/decide/circuit_breaker.py
@@ -19,28 +19,28 @@
 class State(enum.Enum):
     """How an entry treats an endpoint."""
 
-    GOOD = "good"
-    AVOIDED = "avoided"
-    TRIAL = "trial"
+    CLOSED = "good"
+    OPEN = "avoided"
+    HALF_OPEN = "trial"
 
 
-class Health:
+class CircuitBreaker:
     """What one entry has seen of one endpoint."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
-        self._state = State.GOOD
+        self._state = State.CLOSED
         self._until = 0.0
         self._pause_s = _FIRST_S
         self._ratio = 1.0
         # Until then it wants no requests, as it said itself.
         self._quiet_until = 0.0
 
-    def asked(self, backoff_s: float, now: float) -> None:
+    def record_backoff(self, backoff_s: float, now: float) -> None:
         """It asked for so many seconds without requests."""
         self._quiet_until = max(self._quiet_until, now + backoff_s)
 
-    def asks(self, now: float) -> bool:
+    def in_backoff(self, now: float) -> bool:
         """Whether it wants no requests now: no fault of its own."""
         return now < self._quiet_until
 
@@ -49,20 +49,20 @@
 
         In TRIAL it may be given one request, which then decides.
         """
-        if self.asks(now):
-            return State.AVOIDED
-        if self._state is State.AVOIDED and now >= self._until:
-            return State.TRIAL
+        if self.in_backoff(now):
+            return State.OPEN
+        if self._state is State.OPEN and now >= self._until:
+            return State.HALF_OPEN
         return self._state
 
-    def tried(self, now: float) -> None:
+    def record_attempt(self, now: float) -> None:
         """The trial request was sent; no other until it has ended."""
-        if self.state(now) is State.TRIAL:
+        if self.state(now) is State.HALF_OPEN:
             self._until = now + self._pause_s
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """An attempt broke through the endpoint's own fault."""
-        again = self._state is State.AVOIDED
+        again = self._state is State.OPEN
         if again and now < self._until - self._pause_s * 0.5:
             # Streams that broke together count as one failure.
             return
@@ -71,10 +71,10 @@
         self._avoid(now)
 
     def _avoid(self, now: float) -> None:
-        self._state = State.AVOIDED
+        self._state = State.OPEN
         self._until = now + self._pause_s * (0.75 + 0.5 * self._rng.random())
 
-    def succeeded(
+    def record_success(
         self, *, took_s: float, predicted_s: float, now: float
     ) -> None:
         """A part was done; `predicted_s` is what had been expected."""
@@ -82,24 +82,24 @@
         self._ratio += _NEW * (min(ratio, 10.0) - self._ratio)
         if self._ratio > _SLOW_RATIO:
             self._ratio = 1.0
-            self.failed(now)
+            self.record_failure(now)
             return
-        self._state = State.GOOD
+        self._state = State.CLOSED
         self._pause_s = _FIRST_S
 
 
-class HealthMap:
+class CircuitBreakers:
     """The health of every endpoint that an entry knows."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
-        self._all: dict[types.AgentId, Health] = {}
+        self._all: dict[types.AgentId, CircuitBreaker] = {}
 
-    def of(self, agent: types.AgentId) -> Health:
+    def of(self, agent: types.AgentId) -> CircuitBreaker:
         """The health of one endpoint."""
         found = self._all.get(agent)
         if found is None:
-            found = Health(rng=self._rng)
+            found = CircuitBreaker(rng=self._rng)
             self._all[agent] = found
         return found
 
--- a/rackpost/decide/deadlines.py
+++ b/rackpost/decide/deadlines.py
@@ -16,7 +16,7 @@
     """Promised work, or what is left of it; sorts by its deadline."""
 
     deadline: float
-    key: slots.Key
+    key: slots.AttemptKey
     cost_s: float
     parts: int = 1
 
@@ -28,12 +28,12 @@
         self._running = False
         self._busy_until = 0.0
         self._jobs: list[Job] = []
-        self._by_key: dict[slots.Key, Job] = {}
+        self._by_key: dict[slots.AttemptKey, Job] = {}
 
     def __iter__(self) -> Iterator[Job]:
         return iter(self._jobs)
 
-    def __contains__(self, key: slots.Key) -> bool:
+    def __contains__(self, key: slots.AttemptKey) -> bool:
         return key in self._by_key
 
     def start(self, cost_s: float, now: float) -> None:
@@ -63,7 +63,7 @@
         """How long what runs is overdue."""
         return max(0.0, now - self._busy_until) if self._running else 0.0
 
-    def late(self, now: float, grace_s: float) -> list[slots.Key]:
+    def late(self, now: float, grace_s: float) -> list[slots.AttemptKey]:
         """The jobs that can no longer end in time."""
         found = []
         at = self.free_at(now)
@@ -100,7 +100,7 @@
         self.remove(job.key)
         self.add(job)
 
-    def remove(self, key: slots.Key) -> None:
+    def remove(self, key: slots.AttemptKey) -> None:
         """Take a job out; one that is not there is ignored."""
         job = self._by_key.pop(key, None)
         if job is not None:
--- a/rackpost/decide/declared_events.py
+++ b/rackpost/decide/declared_events.py
@@ -21,7 +21,7 @@
 _SHOWN = 0.2
 
 
-class Declared(NamedTuple):
+class DeclaredEvent(NamedTuple):
     """An event as far as it matters for admission; rate a second."""
 
     start: float
@@ -30,8 +30,8 @@
     rate: float
 
 
-def expected(
-    events: Iterable[Declared],
+def expected_rates(
+    events: Iterable[DeclaredEvent],
     *,
     seen: Mapping[types.KindName, float],
     now: float,
--- a/rackpost/decide/demand.py
+++ b/rackpost/decide/demand.py
@@ -32,7 +32,7 @@
     target_s: float
 
 
-class Share(NamedTuple):
+class HigherDensityDemand(NamedTuple):
     """Denser work in a second: requests, and seconds of prefill.
 
     Of what is `urgent` the target is shorter, so it goes first; the
@@ -44,9 +44,9 @@
     other_rate: float = 0.0
     other_load: float = 0.0
 
-    def times(self, rate: float, load: float) -> "Share":
+    def scaled(self, rate: float, load: float) -> "HigherDensityDemand":
         """The rates times `rate`, the loads times `load`."""
-        return Share(
+        return HigherDensityDemand(
             self.urgent_rate * rate,
             self.urgent_load * load,
             self.other_rate * rate,
@@ -54,7 +54,7 @@
         )
 
 
-NONE = Share()
+NO_DEMAND = HigherDensityDemand()
 
 
 class _Kind:
@@ -80,7 +80,7 @@
         return len(self.recent) / WINDOW_S
 
 
-class Demand:
+class DemandEstimator:
     """The demand on one service at one entry."""
 
     def __init__(self) -> None:
@@ -88,7 +88,7 @@
         self._kinds: dict[types.KindName, _Kind] = {}
         self._declared: Mapping[types.KindName, float] = {}
 
-    def offered(self, kind: types.KindName, offer: Offer) -> None:
+    def record_offer(self, kind: types.KindName, offer: Offer) -> None:
         """A request asked for work, whether or not it is given any."""
         self._offers.append(offer)
         known = self._kinds.get(kind)
@@ -97,7 +97,9 @@
             self._kinds[kind] = known
         known.add(offer)
 
-    def declare(self, rates: Mapping[types.KindName, float]) -> None:
+    def set_declared_rates(
+        self, rates: Mapping[types.KindName, float]
+    ) -> None:
         """Requests a second of each kind that are declared for now."""
         self._declared = rates
 
@@ -105,7 +107,7 @@
         """Requests a second of each kind of late."""
         return {name: kind.rate(now) for name, kind in self._kinds.items()}
 
-    def above(self, mine: Offer) -> Share:
+    def higher_density_than(self, mine: Offer) -> HigherDensityDemand:
         """The demand of requests denser than `mine`, at its moment.
 
         A declared kind counts with its declared rate where that is more
@@ -126,4 +128,4 @@
                 first = 0 if known.target_s < mine.target_s else 2
                 found[first] += missing
                 found[first + 1] += missing * known.cost_s
-        return Share(*found)
+        return HigherDensityDemand(*found)
--- a/rackpost/decide/endpoint_view.py
+++ b/rackpost/decide/endpoint_view.py
@@ -13,7 +13,7 @@
 class EndpointView:
     """An entry's latest knowledge of one endpoint.
 
-    `delay_s` is the one-way delay to its data centre, `seen_at` the clock
+    `delay_s` is the one-way delay to its data centre, `updated_at` the clock
     reading when `load` was said.  `sent` counts what this entry has put
     there since, so that a burst does not follow one stale figure.
     """
@@ -33,26 +33,26 @@
         self.data_centre = data_centre
         self.delay_s = delay_s
         self.load = load
-        self.seen_at = now
+        self.updated_at = now
         self.sent_slots = 0
         self.sent_work_s = 0.0
         self.open = 0
-        self.hints = prefix.PrefixHints(max_blocks=_MAX_HINTS)
+        self.prefix_hints = prefix.PrefixHints(max_blocks=_MAX_HINTS)
         self.avoided = False
 
     def update(self, load: messages.Load, now: float) -> None:
         """The agent has said its load."""
         self.load = load
-        self.seen_at = now
+        self.updated_at = now
         self.sent_slots = 0
         self.sent_work_s = 0.0
 
     def backlog_s(self, now: float) -> float:
         """The prefill work that a new request would find there."""
         past = self.load.backlog_s + self.sent_work_s
-        return max(0.0, past - (now - self.seen_at))
+        return max(0.0, past - (now - self.updated_at))
 
-    def room_s(self, slack_s: float, now: float) -> float:
+    def longest_job_s(self, slack_s: float, now: float) -> float:
         """The longest prefill or transfer that it probably has room for."""
         rooms = self.load.room_s
         if not rooms:
@@ -67,27 +67,27 @@
             part = (slack_s - slacks[at]) / (slacks[at + 1] - slacks[at])
             room = rooms[at] + part * (rooms[at + 1] - rooms[at])
         # What was sent since is ahead; what has passed was worked off.
-        return room - self.sent_work_s + min(now - self.seen_at, 0.05)
+        return room - self.sent_work_s + min(now - self.updated_at, 0.05)
 
-    def slot_in_s(self, now: float) -> float:
+    def slot_wait_s(self, now: float) -> float:
         """In how many seconds a decode slot is expected there."""
         if self.load.used + self.sent_slots < self.load.slots:
             return 0.0
         more = self.sent_slots * self.load.step_s
-        return max(0.0, self.load.free_in_s + more - (now - self.seen_at))
+        return max(0.0, self.load.free_in_s + more - (now - self.updated_at))
 
     def prefill_s(self, tokens: int, blocks: tuple) -> float:
         """Seconds to prefill a prompt there, cached prefix left out."""
-        cached = self.hints.match(blocks) * prefix.BLOCK_TOKENS
+        cached = self.prefix_hints.match(blocks) * prefix.BLOCK_TOKENS
         rest = max(1, tokens - cached)
         return self.load.prefill_base_s + rest / self.load.prefill_tokens_s
 
 
-class Ask:
+class Requirements:
     """What a request needs, as the decisions see it.
 
     `ttft_s` is what is left until the first token is due, `tbt_s` the
-    promised time between tokens, both in seconds; `denser` is what is
+    promised time between tokens, both in seconds; `higher_density` is what is
     expected of requests that count for more, for one endpoint.
     """
 
@@ -100,7 +100,7 @@
         "kv_bytes",
         "ttft_s",
         "tbt_s",
-        "denser",
+        "higher_density",
     )
 
     def __init__(
@@ -114,7 +114,7 @@
         kv_bytes: int,
         ttft_s: float,
         tbt_s: float,
-        denser: demand.Share = demand.NONE,
+        higher_density: demand.HigherDensityDemand = demand.NO_DEMAND,
     ) -> None:
         self.service = service
         self.kind = kind
@@ -124,4 +124,4 @@
         self.kv_bytes = kv_bytes
         self.ttft_s = ttft_s
         self.tbt_s = tbt_s
-        self.denser = denser
+        self.higher_density = higher_density
--- a/rackpost/decide/fairness.py
+++ b/rackpost/decide/fairness.py
@@ -28,7 +28,7 @@
         return self.cost * math.exp((self.at - at) / _FADE_S)
 
 
-class Fairness:
+class FairShareTracker:
     """The callers of one service at one entry."""
 
     def __init__(self) -> None:
@@ -36,7 +36,9 @@
         self._total = _Usage(at=0.0)
         self._looked_at = 0.0
 
-    def asked(self, caller: types.CallerId, cost: float, at: float) -> float:
+    def record_request(
+        self, caller: types.CallerId, cost: float, at: float
+    ) -> float:
         """Count a request; the factor for its density, at most 1.
 
         `cost` is in any unit that is the same for all requests.
--- a/rackpost/decide/link_budget.py
+++ b/rackpost/decide/link_budget.py
@@ -23,7 +23,7 @@
     def __init__(self, *, bytes_s: float) -> None:
         self.bytes_s = bytes_s
         self._jobs = deadlines.Deadlines()
-        self._moving: slots.Key | None = None
+        self._moving: slots.AttemptKey | None = None
 
     def backlog_s(self, now: float) -> float:
         """Seconds of promised transfers that are not done."""
@@ -38,7 +38,7 @@
         return self._jobs.due_s(now)
 
     def promise(
-        self, *, key: slots.Key, size: int, within_s: float, now: float
+        self, *, key: slots.AttemptKey, size: int, within_s: float, now: float
     ) -> float | types.Refusal:
         """Promise a transfer; how long it and what is ahead takes."""
         cost = size / self.bytes_s
@@ -60,7 +60,7 @@
         room = self._jobs.room_s(slack_s, now)
         return max(0.0, room - self._blocking_s(now + slack_s))
 
-    def start(self, key: slots.Key, now: float) -> None:
+    def start(self, key: slots.AttemptKey, now: float) -> None:
         """The engine was told to move it."""
         for job in self._jobs:
             if job.key == key:
@@ -72,7 +72,7 @@
         """Whether what moves is long overdue."""
         return self._jobs.overdue_s(now) > _STALLED_S
 
-    def end(self, key: slots.Key) -> None:
+    def end(self, key: slots.AttemptKey) -> None:
         """The transfer is done or given up; an unheld key is ignored."""
         if self._moving == key:
             self._moving = None
--- a/rackpost/decide/placement.py
+++ b/rackpost/decide/placement.py
@@ -47,7 +47,7 @@
     def place(
         self,
         *,
-        ask: endpoint_view.Ask,
+        requirements: endpoint_view.Requirements,
         pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId] = (),
@@ -55,7 +55,7 @@
         """Choose among `pool`, all of the service, or say why not."""
 
 
-def by_role(
+def eligible(
     pool: Sequence[endpoint_view.EndpointView],
     role: types.Role,
     excluded: Collection[types.AgentId],
@@ -84,7 +84,7 @@
     def place(
         self,
         *,
-        ask: endpoint_view.Ask,
+        requirements: endpoint_view.Requirements,
         pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId] = (),
@@ -92,20 +92,20 @@
         """Choose the pair with the least predicted time."""
         if len(pool) > _LARGE_POOL:
             some = self._rng.sample(pool, _LARGE_POOL)
-            found = self._place(ask, some, now, excluded)
+            found = self._place(requirements, some, now, excluded)
             if found is not types.Refusal.NO_ENDPOINT:
                 return found
-        return self._place(ask, pool, now, excluded)
+        return self._place(requirements, pool, now, excluded)
 
     def _place(
         self,
-        ask: endpoint_view.Ask,
+        ask: endpoint_view.Requirements,
         pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId],
     ) -> Placement | types.Refusal:
-        decodes = by_role(pool, types.Role.DECODE, excluded)
-        prefills = by_role(pool, types.Role.PREFILL, excluded)
+        decodes = eligible(pool, types.Role.DECODE, excluded)
+        prefills = eligible(pool, types.Role.PREFILL, excluded)
         if not decodes or not prefills:
             return types.Refusal.NO_ENDPOINT
         halves = self._prefill_halves(ask, prefills, now)
@@ -118,7 +118,7 @@
 
     def _prefill_halves(
         self,
-        ask: endpoint_view.Ask,
+        ask: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> list["_Half"]:
@@ -131,7 +131,7 @@
                 continue
             # Without room the agent is asked all the same: it may have
             # some by now, and must learn of the demand that there is.
-            room = view.room_s(slack, now)
+            room = view.longest_job_s(slack, now)
             # By its deadline a request may run before others' work; the
             # room that is left over tells how soon.
             ready = 2 * view.delay_s + max(cost, slack - (room - cost))
@@ -142,7 +142,7 @@
 
     def _decode_halves(
         self,
-        ask: endpoint_view.Ask,
+        ask: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> list["_Half"] | types.Refusal:
@@ -151,13 +151,13 @@
         for view in pool:
             if view.load.step_s > ask.tbt_s:
                 continue
-            slot = view.slot_in_s(now)
+            slot = view.slot_wait_s(now)
             slack = ask.ttft_s - 2 * view.delay_s - view.load.step_s
             transfer = ask.kv_bytes / view.load.link_bytes_s
             if transfer > slack:
                 late = True
                 continue
-            lack = max(0.0, transfer - view.room_s(slack, now))
+            lack = max(0.0, transfer - view.longest_job_s(slack, now))
             cost = lack + slot + 2 * view.delay_s + _crowding(view)
             tie = _TIE_S * self._rng.random()
             halves.append(_Half(cost + tie, slot, view))
@@ -177,7 +177,9 @@
 
 
 def _best_pair(
-    ask: endpoint_view.Ask, prefills: list[_Half], decodes: list[_Half]
+    ask: endpoint_view.Requirements,
+    prefills: list[_Half],
+    decodes: list[_Half],
 ) -> Placement:
     best: Placement | None = None
     best_cost = float("inf")
@@ -194,7 +196,7 @@
     return best
 
 
-def _ttft(ask: endpoint_view.Ask, pre: _Half, dec: _Half) -> float:
+def _ttft(ask: endpoint_view.Requirements, pre: _Half, dec: _Half) -> float:
     out = pre.view.load
     into = dec.view.load
     transfer = ask.kv_bytes / min(out.link_bytes_s, into.link_bytes_s)
@@ -218,19 +220,19 @@
     def place(
         self,
         *,
-        ask: endpoint_view.Ask,
+        requirements: endpoint_view.Requirements,
         pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> Placement | types.Refusal:
         """Choose the endpoint with the least expected wait."""
-        fit = by_role(pool, types.Role.PLAIN, excluded)
+        fit = eligible(pool, types.Role.PLAIN, excluded)
         if not fit:
             return types.Refusal.NO_ENDPOINT
         view = min(
             fit,
             key=lambda v: (
-                v.slot_in_s(now) + 2 * v.delay_s + _crowding(v),
+                v.slot_wait_s(now) + 2 * v.delay_s + _crowding(v),
                 self._rng.random(),
             ),
         )
--- a/rackpost/decide/prefill_queue.py
+++ b/rackpost/decide/prefill_queue.py
@@ -37,7 +37,7 @@
     def __init__(self, *, max_jobs: int) -> None:
         self._max_jobs = max_jobs
         self._jobs = deadlines.Deadlines()
-        self._state: dict[slots.Key, JobState] = {}
+        self._state: dict[slots.AttemptKey, JobState] = {}
 
     def __len__(self) -> int:
         return len(self._state)
@@ -58,7 +58,7 @@
     def promise(
         self,
         *,
-        key: slots.Key,
+        key: slots.AttemptKey,
         cost_s: float,
         within_s: float,
         urgent: float,
@@ -89,12 +89,12 @@
         self._state[key] = JobState.PROMISED
         return ends - now
 
-    def ready(self, key: slots.Key) -> None:
+    def ready(self, key: slots.AttemptKey) -> None:
         """The prompt is here: the job may be taken by `next_job`."""
         if self._state.get(key) is JobState.PROMISED:
             self._state[key] = JobState.READY
 
-    def next_job(self, now: float) -> slots.Key | None:
+    def next_job(self, now: float) -> slots.AttemptKey | None:
         """Take the ready job with the earliest deadline, if any.
 
         Of a long job only a part is taken; the rest stays in the queue,
@@ -118,17 +118,17 @@
         self._jobs.start(part_s, now)
         self._state[job.key] = JobState.RUNNING
 
-    def in_part(self, key: slots.Key) -> bool:
+    def in_part(self, key: slots.AttemptKey) -> bool:
         """Whether the running job has a rest in the queue."""
         return key in self._jobs
 
-    def part_done(self, key: slots.Key) -> None:
+    def part_done(self, key: slots.AttemptKey) -> None:
         """A part of the job is done; the rest waits for its turn."""
         if self._state.get(key) is JobState.RUNNING:
             self._state[key] = JobState.BEGUN
             self._jobs.stop()
 
-    def late(self, now: float) -> list[slots.Key]:
+    def late(self, now: float) -> list[slots.AttemptKey]:
         """Jobs that have not begun and can no longer end in time."""
         begun = (JobState.RUNNING, JobState.BEGUN)
         return [
@@ -137,7 +137,7 @@
             if self._state[key] not in begun
         ]
 
-    def end(self, key: slots.Key) -> None:
+    def end(self, key: slots.AttemptKey) -> None:
         """The job ended or was given up; an unheld key is ignored."""
         if self._state.pop(key, None) is JobState.RUNNING:
             self._jobs.stop()
--- a/rackpost/decide/reservations.py
+++ b/rackpost/decide/reservations.py
@@ -42,17 +42,17 @@
     step_s: float = 0.03
     link_bytes_s: float = 2e9
     cache_blocks: int = 2048
-    segment_tokens: int = 1024
+    chunk_tokens: int = 1024
 
 
-class Promise(NamedTuple):
+class ReservationTerms(NamedTuple):
     """What was promised: ready in so many seconds, blocks reused."""
 
     ready_in_s: float
     reuse_blocks: int
 
 
-class Book(abc.ABC):
+class EndpointLedger(abc.ABC):
     """The decisions of an agent about its endpoint."""
 
     def __init__(self, *, spec: EndpointSpec) -> None:
@@ -60,50 +60,52 @@
         self.role = spec.role
         self.revision = types.Revision(0)
         self.leaving = False
-        self.health = circuit_breaker.Health(rng=random.Random(0))
+        self.health = circuit_breaker.CircuitBreaker(rng=random.Random(0))
 
     @abc.abstractmethod
-    def promise(
-        self, msg: messages.Reserve, key: slots.Key, now: float
-    ) -> Promise | types.Refusal:
+    def reserve(
+        self, msg: messages.Reserve, key: slots.AttemptKey, now: float
+    ) -> ReservationTerms | types.Refusal:
         """Promise the part that `msg` asks for, or say why not."""
 
     @abc.abstractmethod
-    def ready(self, key: slots.Key) -> None:
+    def mark_ready(self, key: slots.AttemptKey) -> None:
         """What the promised part needs has arrived: it may start."""
 
     @abc.abstractmethod
-    def next_start(self, now: float) -> slots.Key | None:
+    def next_start(self, now: float) -> slots.AttemptKey | None:
         """Take the promised part that is to be started now, if any."""
 
-    def part_tokens(self, key: slots.Key) -> int | None:
+    def chunk_tokens(self, key: slots.AttemptKey) -> int | None:
         """How many tokens of a started prefill to run now; None: all."""
         return None
 
-    def part_done(self, key: slots.Key) -> None:
+    def chunk_done(self, key: slots.AttemptKey) -> None:
         """A part of a prefill is done; `next_start` gives it again."""
 
     def wake_in_s(self, now: float) -> float | None:
         """When `next_start` may have something without any message."""
         return None
 
-    def lost(self, now: float) -> list[slots.Key]:
+    def infeasible(self, now: float) -> list[slots.AttemptKey]:
         """Promised parts, not begun, that can't be kept any more."""
         return []
 
     @abc.abstractmethod
-    def progress(
-        self, key: slots.Key, done: int, step_s: float, now: float
+    def record_progress(
+        self, key: slots.AttemptKey, done: int, step_s: float, now: float
     ) -> None:
         """A decode has made `done` tokens, the last in `step_s`."""
 
     @abc.abstractmethod
-    def prefilled(self, key: slots.Key, took_s: float) -> None:
+    def record_prefill(self, key: slots.AttemptKey, took_s: float) -> None:
         """A prefill took this long."""
 
     @abc.abstractmethod
-    def end(self, key: slots.Key, now: float, *, whole: bool) -> None:
-        """The attempt is over here, `whole` or not."""
+    def release(
+        self, key: slots.AttemptKey, now: float, *, completed: bool
+    ) -> None:
+        """The attempt is over here, `completed` or not."""
 
     def engine_queue_s(self, now: float) -> float:
         """Seconds of work that wait within the engine itself."""
@@ -114,7 +116,7 @@
         """What to tell entries."""
 
 
-class PromiseBook(Book):
+class ReservationLedger(EndpointLedger):
     """The product's book: no work without a promise it can keep."""
 
     def __init__(self, *, spec: EndpointSpec) -> None:
@@ -126,17 +128,17 @@
         self._link = link_budget.LinkBudget(bytes_s=spec.link_bytes_s)
         self._models = lengths.LengthModels()
         self._cached = prefix.PrefixHints(max_blocks=spec.cache_blocks)
-        self._asked: dict[slots.Key, messages.Reserve] = {}
-        self._cost: dict[slots.Key, float] = {}
-        self._ready: list[tuple[float, slots.Key]] = []
-        self._due: dict[slots.Key, float] = {}
+        self._asked: dict[slots.AttemptKey, messages.Reserve] = {}
+        self._cost: dict[slots.AttemptKey, float] = {}
+        self._ready: list[tuple[float, slots.AttemptKey]] = []
+        self._due: dict[slots.AttemptKey, float] = {}
         self._step_s = spec.step_s
         # Observed over stated time of prefills; follows a slow engine.
         self._slowness = 1.0
 
-    def promise(
-        self, msg: messages.Reserve, key: slots.Key, now: float
-    ) -> Promise | types.Refusal:
+    def reserve(
+        self, msg: messages.Reserve, key: slots.AttemptKey, now: float
+    ) -> ReservationTerms | types.Refusal:
         """Promise a prefill, a decode slot, or a call."""
         if self.leaving:
             return types.Refusal.LEAVING
@@ -150,22 +152,22 @@
             made = self._promise_prefill(msg, key, now)
         else:
             made = self._promise_slot(msg, key, now)
-        if isinstance(made, Promise):
-            self.health.tried(now)
+        if isinstance(made, ReservationTerms):
+            self.health.record_attempt(now)
             self._asked[key] = msg
             self._due[key] = now + msg.within_s
         return made
 
     def _sound_for(self, msg: messages.Reserve, now: float) -> bool:
         state = self.health.state(now)
-        if state is circuit_breaker.State.TRIAL:
+        if state is circuit_breaker.State.HALF_OPEN:
             # A trial that fails costs its prefill: let it be a short one.
             return msg.prompt_tokens <= _TRIAL_TOKENS
-        return state is circuit_breaker.State.GOOD
+        return state is circuit_breaker.State.CLOSED
 
     def _promise_prefill(
-        self, msg: messages.Reserve, key: slots.Key, now: float
-    ) -> Promise | types.Refusal:
+        self, msg: messages.Reserve, key: slots.AttemptKey, now: float
+    ) -> ReservationTerms | types.Refusal:
         reuse = self._cached.match(msg.blocks)
         rest = max(1, msg.prompt_tokens - reuse * prefix.BLOCK_TOKENS)
         parts = self._parts(rest)
@@ -182,10 +184,10 @@
         if isinstance(done, types.Refusal):
             return done
         self._cost[key] = cost
-        return Promise(done, reuse)
+        return ReservationTerms(done, reuse)
 
     def _parts(self, tokens: int) -> int:
-        segment = self.spec.segment_tokens
+        segment = self.spec.chunk_tokens
         return max(1, round(tokens / segment)) if segment else 1
 
     def _prefill_cost(self, tokens: int, parts: int) -> float:
@@ -194,8 +196,8 @@
         return cost * self._slowness
 
     def _promise_slot(
-        self, msg: messages.Reserve, key: slots.Key, now: float
-    ) -> Promise | types.Refusal:
+        self, msg: messages.Reserve, key: slots.AttemptKey, now: float
+    ) -> ReservationTerms | types.Refusal:
         link = 0.0
         transfer = msg.kv_bytes / self.spec.link_bytes_s
         if msg.kv_bytes:
@@ -219,9 +221,9 @@
         if isinstance(wait, types.Refusal):
             self._link.end(key)
             return wait
-        return Promise(max(wait, link), 0)
+        return ReservationTerms(max(wait, link), 0)
 
-    def ready(self, key: slots.Key) -> None:
+    def mark_ready(self, key: slots.AttemptKey) -> None:
         """The prompt, or the KV cache, of a promised part is there."""
         if key not in self._asked:
             return
@@ -230,7 +232,7 @@
         else:
             heapq.heappush(self._ready, (self._due[key], key))
 
-    def next_start(self, now: float) -> slots.Key | None:
+    def next_start(self, now: float) -> slots.AttemptKey | None:
         """Take the next prefill, decode or call to hand over, if any."""
         if self.role is types.Role.PREFILL:
             return self._next_prefill(now)
@@ -252,17 +254,17 @@
         # by then the next one should be moving.
         return self._link.due_s(now) > 0.0 or self._link.stalled(now)
 
-    def part_tokens(self, key: slots.Key) -> int | None:
+    def chunk_tokens(self, key: slots.AttemptKey) -> int | None:
         """The tokens of the part that was started; None: all the rest."""
         if self.role is types.Role.PREFILL and self._queue.in_part(key):
-            return self.spec.segment_tokens
+            return self.spec.chunk_tokens
         return None
 
-    def part_done(self, key: slots.Key) -> None:
+    def chunk_done(self, key: slots.AttemptKey) -> None:
         """Put the rest of the prefill back into the queue."""
         self._queue.part_done(key)
 
-    def _next_prefill(self, now: float) -> slots.Key | None:
+    def _next_prefill(self, now: float) -> slots.AttemptKey | None:
         if self._queue.running:
             return None
         return self._queue.next_job(now)
@@ -272,8 +274,8 @@
         busy = self._link.due_s(now)
         return busy if busy > 0.0 and self._ready else None
 
-    def progress(
-        self, key: slots.Key, done: int, step_s: float, now: float
+    def record_progress(
+        self, key: slots.AttemptKey, done: int, step_s: float, now: float
     ) -> None:
         """Take in a token and the time since the one before it."""
         self._slots.progress(key, done)
@@ -282,7 +284,7 @@
         elif step_s > 0.0:
             self._step_s += _NEW * 0.2 * (step_s - self._step_s)
 
-    def lost(self, now: float) -> list[slots.Key]:
+    def infeasible(self, now: float) -> list[slots.AttemptKey]:
         """Promises to give back while there is time for another try."""
         if self.role is types.Role.PREFILL:
             return self._queue.late(now)
@@ -291,7 +293,7 @@
             return self._slots.promised()
         return []
 
-    def prefilled(self, key: slots.Key, took_s: float) -> None:
+    def record_prefill(self, key: slots.AttemptKey, took_s: float) -> None:
         """Take in how long a prefill took."""
         cost = self._cost.get(key)
         msg = self._asked.get(key)
@@ -301,16 +303,18 @@
         self._slowness += _NEW * (seen - self._slowness)
         self._cached.add(msg.blocks)
 
-    def end(self, key: slots.Key, now: float, *, whole: bool) -> None:
+    def release(
+        self, key: slots.AttemptKey, now: float, *, completed: bool
+    ) -> None:
         """Let go of everything the attempt holds here."""
         self._asked.pop(key, None)
         self._due.pop(key, None)
         self._cost.pop(key, None)
         self._link.end(key)
-        self._slots.end(key, whole=whole)
+        self._slots.end(key, whole=completed)
         self._queue.end(key)
 
-    def cache_events(
+    def record_cache_events(
         self,
         stored: tuple[types.BlockHash, ...],
         removed: tuple[types.BlockHash, ...],
@@ -327,7 +331,7 @@
             role=self.role,
             revision=self.revision,
             leaving=self.leaving,
-            avoided=self.health.state(now) is circuit_breaker.State.AVOIDED,
+            avoided=self.health.state(now) is circuit_breaker.State.OPEN,
             slots=spec.slots,
             used=self._slots.used,
             free_in_s=wait,
--- a/rackpost/decide/retry.py
+++ b/rackpost/decide/retry.py
@@ -21,12 +21,12 @@
 class Stage(enum.Enum):
     """How far a request had come when it broke."""
 
-    NOTHING = "nothing"
+    NOT_HANDED_OVER = "nothing"
     HANDED_OVER = "handed-over"
     STREAMING = "streaming"
 
 
-class Again(NamedTuple):
+class Retry(NamedTuple):
     """Try again after a pause, in seconds."""
 
     pause_s: float
@@ -46,7 +46,7 @@
         self._burst = burst
         self._level = burst
 
-    def request(self, share: float) -> None:
+    def record_request(self, share: float) -> None:
         """A request came in, of which `share` may be spent on retries."""
         self._level = min(self._burst, self._level + share)
 
@@ -69,7 +69,7 @@
     needed_s: float,
     budget: RetryBudget,
     rng: random.Random,
-) -> Again | GiveUp:
+) -> Retry | GiveUp:
     """Decide after an attempt that had been accepted broke off.
 
     `ran` is false only where the agent has sealed the attempt unrun;
@@ -77,7 +77,7 @@
     that had begun until the whole answer is, `needed_s` what a new
     attempt is expected to take.
     """
-    touched = ran or stage is not Stage.NOTHING
+    touched = ran or stage is not Stage.NOT_HANDED_OVER
     outcome = types.Outcome.UNKNOWN if touched else types.Outcome.NOT_RUN
     if touched and repeat is types.RepeatClass.ONCE:
         return GiveUp(outcome, reason)
@@ -85,4 +85,4 @@
         return GiveUp(outcome, reason)
     if not budget.take():
         return GiveUp(outcome, types.Refusal.RETRY_BUDGET)
-    return Again(rng.random() * _JITTER_S)
+    return Retry(rng.random() * _JITTER_S)
--- a/rackpost/decide/retry_after.py
+++ b/rackpost/decide/retry_after.py
@@ -15,15 +15,18 @@
 }
 
 
-def after(reason: types.Refusal, *, backlog_s: float, denser: float) -> float:
+def delay_s(
+    reason: types.Refusal, *, backlog_s: float, higher_density_load: float
+) -> float:
     """Seconds after which another try makes sense.
 
     `backlog_s` is the least prefill work that an endpoint has promised,
-    `denser` the share of the engines' time that goes to what counts more;
-    as long as that is nearly all there is no use in coming back soon.
+    `higher_density_load` the share of the engines' time that goes to what
+    counts more; as long as that is nearly all there is no use in coming back
+    soon.
     """
     fixed = _FIXED_S.get(reason)
     if fixed is not None:
         return fixed
-    left = max(0.05, 1.0 - denser)
+    left = max(0.05, 1.0 - higher_density_load)
     return max(_SOONEST_S, min(_LATEST_S, (_SOONEST_S + backlog_s) / left))
--- a/rackpost/decide/slots.py
+++ b/rackpost/decide/slots.py
@@ -23,7 +23,7 @@
 _CAUTION = 0.0
 
 
-class Key(NamedTuple):
+class AttemptKey(NamedTuple):
     """One attempt at one request."""
 
     req: types.RequestId
@@ -58,8 +58,8 @@
     def __init__(self, *, slots: int, memory_tokens: int) -> None:
         self.slots = slots
         self.memory_tokens = memory_tokens
-        self._running: dict[Key, _Stream] = {}
-        self._promised: dict[Key, _Stream] = {}
+        self._running: dict[AttemptKey, _Stream] = {}
+        self._promised: dict[AttemptKey, _Stream] = {}
         self._deadlines: list[float] = []
         self._memory = 0
 
@@ -123,7 +123,7 @@
     def promise(
         self,
         *,
-        key: Key,
+        key: AttemptKey,
         model: lengths.LengthModel,
         limit: int,
         memory: int,
@@ -181,7 +181,7 @@
                 return False
         return True
 
-    def promised(self) -> list[Key]:
+    def promised(self) -> list[AttemptKey]:
         """What is promised a slot and has not taken it."""
         return list(self._promised)
 
@@ -189,19 +189,19 @@
         """Whether a promised stream can be handed to the engine now."""
         return len(self._running) < self.slots
 
-    def start(self, key: Key) -> None:
+    def start(self, key: AttemptKey) -> None:
         """A promised stream was handed to the engine."""
         strm = self._promised.pop(key)
         self._deadlines.remove(strm.deadline)
         self._running[key] = strm
 
-    def progress(self, key: Key, done: int) -> None:
+    def progress(self, key: AttemptKey, done: int) -> None:
         """A running stream has produced `done` tokens."""
         strm = self._running.get(key)
         if strm is not None:
             strm.done = done
 
-    def end(self, key: Key, *, whole: bool) -> None:
+    def end(self, key: AttemptKey, *, whole: bool) -> None:
         """A stream ended, or its promise was given up.
 
         Only a `whole` answer teaches the length model.  A key that is not
--- a/rackpost/entry/attempt.py
+++ b/rackpost/entry/attempt.py
@@ -55,7 +55,7 @@
         *,
         req: request.Request,
         number: types.Attempt,
-        ask: endpoint_view.Ask,
+        ask: endpoint_view.Requirements,
         offset: int,
         pool: pool_mod.Pool,
         policy: placement.Policy,
@@ -127,7 +127,7 @@
         """Get every part promised; None, or why it can't be."""
         while True:
             plan = self._policy.place(
-                ask=self._ask,
+                requirements=self._ask,
                 pool=self._pool.views_of(self.req.service),
                 now=self._loop.time(),
                 excluded=self.excluded,
@@ -219,14 +219,14 @@
                 kv_bytes=ask.kv_bytes if role is types.Role.DECODE else 0,
                 blocks=ask.blocks if role is types.Role.PREFILL else (),
                 urgent=(
-                    ask.denser.urgent_load
+                    ask.higher_density.urgent_load
                     if role is types.Role.PREFILL
-                    else ask.denser.urgent_rate
+                    else ask.higher_density.urgent_rate
                 ),
                 denser=(
-                    ask.denser.other_load
+                    ask.higher_density.other_load
                     if role is types.Role.PREFILL
-                    else ask.denser.other_rate
+                    else ask.higher_density.other_rate
                 ),
                 priority=self._priority,
                 claim=self.req.claim,
@@ -237,7 +237,7 @@
     def _note_sent(self, role: types.Role, peer: pool_mod.Peer) -> None:
         view = peer.view
         now = self._loop.time()
-        self._pool.health.of(view.agent).tried(now)
+        self._pool.health.of(view.agent).record_attempt(now)
         if role is types.Role.PREFILL:
             view.sent_work_s += view.prefill_s(
                 self._ask.prompt_tokens, self._ask.blocks
@@ -319,7 +319,7 @@
                 took = self._loop.time() - sent_at
                 self._went_well(agent, took, expected)
                 self._note("prefilled", agent, f"{msg.cached_tokens} cached")
-                peer.view.hints.add(self.req.blocks)
+                peer.view.prefix_hints.add(self.req.blocks)
                 self._kept = outcome.Kept(msg.kv, self._loop.time())
                 return None
             broken = self._broken(msg)
@@ -458,7 +458,7 @@
     def _went_well(
         self, agent: types.AgentId, took_s: float, predicted_s: float
     ) -> None:
-        self._pool.health.of(agent).succeeded(
+        self._pool.health.of(agent).record_success(
             took_s=took_s, predicted_s=predicted_s, now=self._loop.time()
         )
 
--- a/rackpost/entry/core.py
+++ b/rackpost/entry/core.py
@@ -297,7 +297,9 @@
         return None
 
     def _new_attempt(
-        self, item: open_request.OpenRequest, denser: demand.Share
+        self,
+        item: open_request.OpenRequest,
+        denser: demand.HigherDensityDemand,
     ) -> attempt_mod.Attempt:
         req = item.req
         item.number += 1
@@ -332,10 +334,12 @@
         return kept
 
     def _ask(
-        self, item: open_request.OpenRequest, denser: demand.Share
-    ) -> endpoint_view.Ask:
+        self,
+        item: open_request.OpenRequest,
+        denser: demand.HigherDensityDemand,
+    ) -> endpoint_view.Requirements:
         req = item.req
-        return endpoint_view.Ask(
+        return endpoint_view.Requirements(
             service=req.service,
             kind=req.kind,
             prompt_tokens=req.prompt_tokens + item.delivered,
@@ -344,7 +348,7 @@
             kv_bytes=req.kv_bytes,
             ttft_s=item.left_s(self._loop.time()),
             tbt_s=req.terms.tbt_s,
-            denser=denser,
+            higher_density=denser,
         )
 
     def _observe(
--- a/rackpost/entry/ends.py
+++ b/rackpost/entry/ends.py
@@ -59,7 +59,7 @@
 
     def admitted(self, req: request.Request) -> None:
         """A request is served, a share of which may be spent on retries."""
-        self._budget(req.service).request(req.terms.retry_share)
+        self._budget(req.service).record_request(req.terms.retry_share)
 
     def is_held(self, req: request.Request) -> bool:
         """Whether a request is held back, as engines ended under it."""
@@ -92,7 +92,9 @@
         broken: outcome.Broken,
     ) -> request.End | None:
         if broken.agent is not None and broken.reason in _AGENTS_FAULT:
-            self._pool.health.of(broken.agent).failed(self._loop.time())
+            self._pool.health.of(broken.agent).record_failure(
+                self._loop.time()
+            )
             att.excluded.add(broken.agent)
         now = self._loop.time()
         self._suspects.broke(item.req, broken, now)
@@ -100,7 +102,7 @@
             return self.refuse(
                 item.req, types.Refusal.ENDS_ENGINES, types.Outcome.UNKNOWN
             )
-        stage = retry.Stage.NOTHING
+        stage = retry.Stage.NOT_HANDED_OVER
         if item.delivered:
             stage = retry.Stage.STREAMING
         elif item.handed_over:
@@ -176,8 +178,8 @@
             for view in self._pool.views_of(req.service)
             if view.load.role is types.Role.PREFILL
         ]
-        return retry_after.after(
+        return retry_after.delay_s(
             reason,
             backlog_s=min(backlogs, default=0.0),
-            denser=self._offers.last_denser(req.service),
+            higher_density_load=self._offers.last_denser(req.service),
         )
--- a/rackpost/entry/http.py
+++ b/rackpost/entry/http.py
@@ -296,7 +296,7 @@
 
 def _passed_on(req: requests.Request) -> tuple[tuple[str, str], ...]:
     ours = {"authorization", _KIND_HEADER}
-    headers = engine_http.end_to_end(tuple(req.headers.items()))
+    headers = engine_http.end_to_end_headers(tuple(req.headers.items()))
     return tuple(item for item in headers if item[0] not in ours)
 
 
--- a/rackpost/entry/offers.py
+++ b/rackpost/entry/offers.py
@@ -12,7 +12,9 @@
 from rackpost.entry import request
 from rackpost import types
 
-Events = Callable[[types.ServiceName], Sequence[declared_events_mod.Declared]]
+Events = Callable[
+    [types.ServiceName], Sequence[declared_events_mod.DeclaredEvent]
+]
 # How many endpoints of a service and role the site has; None if unknown.
 Members = Callable[[types.ServiceName, types.Role], int | None]
 
@@ -21,9 +23,9 @@
     """What is offered to one service."""
 
     def __init__(self) -> None:
-        self.demand = demand.Demand()
-        self.fairness = fairness.Fairness()
-        self.last = demand.NONE
+        self.demand = demand.DemandEstimator()
+        self.fairness = fairness.FairShareTracker()
+        self.last = demand.NO_DEMAND
 
 
 class Offers:
@@ -52,25 +54,25 @@
         self,
         req: request.Request,
         linked: Sequence[endpoint_view.EndpointView],
-    ) -> demand.Share:
+    ) -> demand.HigherDensityDemand:
         """What denser requests will take, of all entries, per endpoint.
 
         The platform's balancer spreads callers evenly, so the other
         entries are taken to be offered as much as this one.
         """
         if req.plain is not None:
-            return demand.NONE
+            return demand.NO_DEMAND
         service = self._services.setdefault(req.service, _Service())
-        pool = capacity.of(linked)
+        pool = capacity.of_pool(linked)
         offer = self._offer(req, service, pool)
-        service.demand.offered(req.kind, offer)
+        service.demand.record_offer(req.kind, offer)
         entries = self._entries()
         self._declare(req.service, service.demand, offer.at, entries)
         prefills = self._members(req.service, types.Role.PREFILL)
         decodes = self._members(req.service, types.Role.DECODE)
-        service.last = service.demand.above(offer).times(
-            entries / max(1, decodes or pool.decodes),
-            entries / max(1, prefills or pool.prefills),
+        service.last = service.demand.higher_density_than(offer).scaled(
+            entries / max(1, decodes or pool.decode_endpoints),
+            entries / max(1, prefills or pool.prefill_endpoints),
         )
         return service.last
 
@@ -85,12 +87,12 @@
         self,
         req: request.Request,
         service: _Service,
-        pool: capacity.Capacity,
+        pool: capacity.PoolCapacity,
     ) -> demand.Offer:
         now = self._loop.time()
         prefill_s = pool.prefill_s(req.prompt_tokens)
         cost = pool.cost(prefill_s, req.max_tokens)
-        share = service.fairness.asked(req.caller, cost, now)
+        share = service.fairness.record_request(req.caller, cost, now)
         return demand.Offer(
             at=now,
             density=req.terms.weight * share / cost,
@@ -101,17 +103,19 @@
     def _declare(
         self,
         service: types.ServiceName,
-        seen: demand.Demand,
+        seen: demand.DemandEstimator,
         at: float,
         entries: int,
     ) -> None:
         declared = self._events(service)
         if not declared:
-            seen.declare({})
+            seen.set_declared_rates({})
             return
         rates = {kind: rate * entries for kind, rate in seen.rates(at).items()}
-        found = declared_events_mod.expected(
+        found = declared_events_mod.expected_rates(
             declared, seen=rates, now=self._wall()
         )
         # This entry's part of what the whole site expects.
-        seen.declare({kind: rate / entries for kind, rate in found.items()})
+        seen.set_declared_rates(
+            {kind: rate / entries for kind, rate in found.items()}
+        )
--- a/rackpost/entry/process.py
+++ b/rackpost/entry/process.py
@@ -113,10 +113,10 @@
 
     def _events(
         self, service: types.ServiceName
-    ) -> list[declared_events_mod.Declared]:
+    ) -> list[declared_events_mod.DeclaredEvent]:
         declared = self.client.in_force.tree.events.values()
         return [
-            declared_events_mod.Declared(
+            declared_events_mod.DeclaredEvent(
                 event.start, event.length_s, event.kinds, event.rate
             )
             for event in declared
--- a/rackpost/testing/engine.py
+++ b/rackpost/testing/engine.py
@@ -49,7 +49,7 @@
     """Prefill tokens that all engines of a test have spent."""
 
     def __init__(self) -> None:
-        self.prefilled: dict[slots.Key, int] = {}
+        self.prefilled: dict[slots.AttemptKey, int] = {}
         self.runs: collections.Counter[types.RequestId] = collections.Counter()
 
     def prefilled_for(self, req: types.RequestId) -> list[int]:
@@ -62,7 +62,7 @@
 class _Kept:
     """A prefill's result, kept for export."""
 
-    def __init__(self, *, key: slots.Key, size: int) -> None:
+    def __init__(self, *, key: slots.AttemptKey, size: int) -> None:
         self.key = key
         self.size = size
         self.expiry: asyncio.TimerHandle | None = None
@@ -71,7 +71,7 @@
 class _Stream:
     """One request in the batch."""
 
-    def __init__(self, *, key: slots.Key, pieces: list[str]) -> None:
+    def __init__(self, *, key: slots.AttemptKey, pieces: list[str]) -> None:
         self.key = key
         self.pieces = pieces
         self.at = 0
@@ -127,15 +127,15 @@
         peers[name] = self
         self._rng = rng
         self._kept: dict[str, _Kept] = {}
-        self._prefills: list[tuple[int, int, slots.Key]] = []
-        self._turns: dict[slots.Key, asyncio.Event] = {}
-        self._prefilling: slots.Key | None = None
+        self._prefills: list[tuple[int, int, slots.AttemptKey]] = []
+        self._turns: dict[slots.AttemptKey, asyncio.Event] = {}
+        self._prefilling: slots.AttemptKey | None = None
         self._order = 0
-        self._waiting: collections.OrderedDict[slots.Key, asyncio.Event] = (
-            collections.OrderedDict()
-        )
-        self._taken: set[slots.Key] = set()
-        self._active: dict[slots.Key, _Stream] = {}
+        self._waiting: collections.OrderedDict[
+            slots.AttemptKey, asyncio.Event
+        ] = collections.OrderedDict()
+        self._taken: set[slots.AttemptKey] = set()
+        self._active: dict[slots.AttemptKey, _Stream] = {}
         self._stepper: asyncio.Task[None] | None = None
         self._cache = prefix.PrefixHints(max_blocks=spec.cache_blocks)
         self._events: list[tuple[float, tuple[types.BlockHash, ...]]] = []
@@ -167,20 +167,20 @@
     # Prefill.
 
     async def prefill(
-        self, *, key: slots.Key, body: bytes, priority: int
+        self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> engine.PrefillResult:
         """Wait for the turn, spend the time, keep the result."""
         tokens, cached = await self._prefill(key, body, priority)
         return self._keep(key, tokens, cached)
 
     async def warm(
-        self, *, key: slots.Key, body: bytes, priority: int
+        self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> None:
         """Wait for the turn and spend the time; keep nothing."""
         await self._prefill(key, body, priority)
 
     async def _prefill(
-        self, key: slots.Key, body: bytes, priority: int
+        self, key: slots.AttemptKey, body: bytes, priority: int
     ) -> tuple[int, int]:
         self._check(ran=False)
         prompt = prompt_of(body)
@@ -190,7 +190,7 @@
         finally:
             self._pass_turn(key)
 
-    async def _turn(self, key: slots.Key, priority: int) -> None:
+    async def _turn(self, key: slots.AttemptKey, priority: int) -> None:
         turn = asyncio.Event()
         self._turns[key] = turn
         self._order += 1
@@ -206,14 +206,14 @@
                 self._prefilling = key
                 turn.set()
 
-    def _pass_turn(self, key: slots.Key) -> None:
+    def _pass_turn(self, key: slots.AttemptKey) -> None:
         self._turns.pop(key, None)
         if self._prefilling == key:
             self._prefilling = None
         self._next_prefill()
 
     async def _prefill_now(
-        self, key: slots.Key, prompt: bytes
+        self, key: slots.AttemptKey, prompt: bytes
     ) -> tuple[int, int]:
         self._check(ran=False)
         tokens = prefix.count_tokens(prompt)
@@ -230,7 +230,7 @@
         return tokens, cached
 
     def _keep(
-        self, key: slots.Key, tokens: int, cached: int
+        self, key: slots.AttemptKey, tokens: int, cached: int
     ) -> engine.PrefillResult:
         handle = f"{key.req}.{key.attempt}"
         item = _Kept(key=key, size=tokens * self.spec.kv_token_bytes)
@@ -289,7 +289,7 @@
     async def decode(
         self,
         *,
-        key: slots.Key,
+        key: slots.AttemptKey,
         body: bytes,
         kv: dict[str, Any] | None,
         offset: int,
@@ -318,7 +318,7 @@
         finally:
             self._free(key)
 
-    async def _slot(self, key: slots.Key) -> None:
+    async def _slot(self, key: slots.AttemptKey) -> None:
         if len(self._taken) >= self.spec.slots:
             turn = asyncio.Event()
             self._waiting[key] = turn
@@ -326,7 +326,7 @@
             self._check(ran=True)
         self._taken.add(key)
 
-    def _free(self, key: slots.Key) -> None:
+    def _free(self, key: slots.AttemptKey) -> None:
         self._active.pop(key, None)
         self._waiting.pop(key, None)
         self._taken.discard(key)
@@ -360,7 +360,7 @@
             self._active.pop(strm.key, None)
             strm.out.put_nowait(None)
 
-    async def abort(self, *, key: slots.Key) -> None:
+    async def abort(self, *, key: slots.AttemptKey) -> None:
         """Forget a request, wherever it is."""
         self._kept.pop(f"{key.req}.{key.attempt}", None)
         strm = self._active.pop(key, None)
--- a/rackpost/testing/engine_http.py
+++ b/rackpost/testing/engine_http.py
@@ -21,11 +21,13 @@
 _KEPT_EVENTS = 4096
 
 
-def _key_of(req: requests.Request) -> slots.Key:
+def _key_of(req: requests.Request) -> slots.AttemptKey:
     name = req.headers.get("x-request-id", "none.1")
     head, _, attempt = name.rpartition(".")
     number = int(attempt) if attempt.isdigit() else 1
-    return slots.Key(types.RequestId(head or name), types.Attempt(number))
+    return slots.AttemptKey(
+        types.RequestId(head or name), types.Attempt(number)
+    )
 
 
 def _error(exc: exceptions.EngineError) -> responses.Response:
@@ -87,7 +89,7 @@
             return _error(exc)
 
     async def _prefill(
-        self, key: slots.Key, body: bytes, priority: int
+        self, key: slots.AttemptKey, body: bytes, priority: int
     ) -> responses.Response:
         done = await self._engine.prefill(
             key=key, body=body, priority=priority
@@ -102,7 +104,7 @@
     async def _decode(
         self,
         req: requests.Request,
-        key: slots.Key,
+        key: slots.AttemptKey,
         body: bytes,
         asked: dict[str, Any],
         params: dict[str, Any],
@@ -130,7 +132,7 @@
         for name in (await req.json())["request_ids"]:
             head, _, attempt = str(name).rpartition(".")
             await self._engine.abort(
-                key=slots.Key(
+                key=slots.AttemptKey(
                     types.RequestId(head), types.Attempt(int(attempt))
                 )
             )
--- a/rackpost/testing/plain.py
+++ b/rackpost/testing/plain.py
@@ -31,13 +31,13 @@
         self._room = asyncio.Semaphore(SLOTS)
 
     async def prefill(
-        self, *, key: slots.Key, body: bytes, priority: int
+        self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> engine.PrefillResult:
         """A plain service has no prefill."""
         raise exceptions.EngineError("not a model engine", ran=False)
 
     async def warm(
-        self, *, key: slots.Key, body: bytes, priority: int
+        self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> None:
         """A plain service has no prompts."""
         raise exceptions.EngineError("not a model engine", ran=False)
@@ -47,7 +47,7 @@
         raise exceptions.EngineError("not a model engine", ran=False)
         yield ""  # This makes the function a generator.
 
-    async def abort(self, *, key: slots.Key) -> None:
+    async def abort(self, *, key: slots.AttemptKey) -> None:
         """Nothing outlives a call."""
 
     async def events(self) -> engine.CacheEvents:
@@ -57,7 +57,7 @@
     async def call(
         self,
         *,
-        key: slots.Key,
+        key: slots.AttemptKey,
         method: str,
         path: str,
         query: str,
--- a/rackpost/testing/site.py
+++ b/rackpost/testing/site.py
@@ -65,12 +65,16 @@
         self.agent.close()
 
 
-BookMaker = Callable[[reservations_mod.EndpointSpec], reservations_mod.Book]
+BookMaker = Callable[
+    [reservations_mod.EndpointSpec], reservations_mod.EndpointLedger
+]
 
 
-def promise_book(spec: reservations_mod.EndpointSpec) -> reservations_mod.Book:
+def promise_book(
+    spec: reservations_mod.EndpointSpec,
+) -> reservations_mod.EndpointLedger:
     """The product's book."""
-    return reservations_mod.PromiseBook(spec=spec)
+    return reservations_mod.ReservationLedger(spec=spec)
 
 
 class Site:
@@ -92,7 +96,7 @@
         self.engines: dict[str, engine.StandInEngine] = {}
         self.nodes: dict[str, Node] = {}
         self.entries: list[entry_core.Entry] = []
-        self.events: list[declared_events.Declared] = []
+        self.events: list[declared_events.DeclaredEvent] = []
         self._seed = seed
         self._make_book = make_book
         self._claims = claims
@@ -113,7 +117,7 @@
                 lease_s=self._lease_s,
             ),
             engine=found,
-            book=self._make_book(self.spec_of(place)),
+            ledger=self._make_book(self.spec_of(place)),
         )
         node = Node(place=place, engine=found, agent=agent)
         self.nodes[place.name] = node
--- a/tests/test_come_back.py
+++ b/tests/test_come_back.py
@@ -13,13 +13,16 @@
 
 
 def test_a_longer_backlog_and_denser_work_send_callers_back_later() -> None:
-    idle = retry_after.after(FULL, backlog_s=0.0, denser=0.0)
-    busy = retry_after.after(FULL, backlog_s=2.0, denser=0.0)
-    rush = retry_after.after(FULL, backlog_s=2.0, denser=0.9)
-    never = retry_after.after(FULL, backlog_s=99.0, denser=5.0)
+    idle = retry_after.delay_s(FULL, backlog_s=0.0, higher_density_load=0.0)
+    busy = retry_after.delay_s(FULL, backlog_s=2.0, higher_density_load=0.0)
+    rush = retry_after.delay_s(FULL, backlog_s=2.0, higher_density_load=0.9)
+    never = retry_after.delay_s(FULL, backlog_s=99.0, higher_density_load=5.0)
     assert idle == 0.5 < busy < rush < never == 30.0
     away = types.Refusal.CONTROL_AWAY
-    assert retry_after.after(away, backlog_s=9.0, denser=0.9) == 2.0
+    assert (
+        retry_after.delay_s(away, backlog_s=9.0, higher_density_load=0.9)
+        == 2.0
+    )
 
 
 class _Listed(platform.PlatformList):
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -17,21 +17,23 @@
 
 
 def test_only_denser_work_counts_and_urgent_work_apart() -> None:
-    seen = demand.Demand()
-    seen.offered(KIND, offer(0.0, 9.0, target=0.2))
-    seen.offered(KIND, offer(0.0, 8.0, target=0.9))
-    seen.offered(KIND, offer(0.0, 1.0, target=0.2))
-    share = seen.above(offer(0.1, 5.0))
+    seen = demand.DemandEstimator()
+    seen.record_offer(KIND, offer(0.0, 9.0, target=0.2))
+    seen.record_offer(KIND, offer(0.0, 8.0, target=0.9))
+    seen.record_offer(KIND, offer(0.0, 1.0, target=0.2))
+    share = seen.higher_density_than(offer(0.1, 5.0))
     assert share.urgent_rate == 1 / demand.WINDOW_S
     assert share.other_rate == 1 / demand.WINDOW_S
-    assert seen.above(offer(9.0, 5.0)) == demand.NONE
+    assert seen.higher_density_than(offer(9.0, 5.0)) == demand.NO_DEMAND
 
 
 def test_a_declared_kind_counts_until_it_has_not_shown() -> None:
-    declared = [declared_events.Declared(100.0, 60.0, (KIND,), 30.0)]
+    declared = [declared_events.DeclaredEvent(100.0, 60.0, (KIND,), 30.0)]
 
     def rate(now: float, seen: float) -> float:
-        found = declared_events.expected(declared, seen={KIND: seen}, now=now)
+        found = declared_events.expected_rates(
+            declared, seen={KIND: seen}, now=now
+        )
         return found.get(KIND, 0.0)
 
     assert rate(90.0, 0.0) == 0.0
--- a/tests/test_engine_backoff.py
+++ b/tests/test_engine_backoff.py
@@ -16,7 +16,7 @@
 from rackpost.http1 import message
 from rackpost.http1 import server
 
-_KEY = slots.Key("r1", 1)
+_KEY = slots.AttemptKey("r1", 1)
 _BODY = b'{"model":"m","prompt":"x"}'
 
 
@@ -52,11 +52,11 @@
 
 
 def test_an_endpoint_is_not_promised_in_the_time_that_it_asked_for() -> None:
-    seen = circuit_breaker.Health(rng=random.Random(1))
-    seen.asked(3.0, 10.0)
-    assert seen.state(12.9) is circuit_breaker.State.AVOIDED
+    seen = circuit_breaker.CircuitBreaker(rng=random.Random(1))
+    seen.record_backoff(3.0, 10.0)
+    assert seen.state(12.9) is circuit_breaker.State.OPEN
     # What it still runs says nothing of what it takes.
-    seen.succeeded(took_s=1.0, predicted_s=1.0, now=11.0)
-    seen.asked(0.5, 11.0)
-    assert seen.state(12.9) is circuit_breaker.State.AVOIDED
-    assert seen.state(13.0) is circuit_breaker.State.GOOD
+    seen.record_success(took_s=1.0, predicted_s=1.0, now=11.0)
+    seen.record_backoff(0.5, 11.0)
+    assert seen.state(12.9) is circuit_breaker.State.OPEN
+    assert seen.state(13.0) is circuit_breaker.State.CLOSED
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -14,14 +14,14 @@
 
 
 def test_a_caller_above_its_even_share_is_lowered_by_as_much() -> None:
-    fair = fairness.Fairness()
+    fair = fairness.FairShareTracker()
     for number in range(400):
         at = number * 0.05
-        flood = fair.asked(A, 9.0, at)
-        modest = fair.asked(B, 1.0, at)
+        flood = fair.record_request(A, 9.0, at)
+        modest = fair.record_request(B, 1.0, at)
     assert modest == 1.0
     assert abs(flood - 5.0 / 9.0) < 0.02
-    assert fair.asked(B, 1.0, 1000.0) == 1.0
+    assert fair.record_request(B, 1.0, 1000.0) == 1.0
 
 
 def test_a_flood_leaves_the_other_callers_answered() -> None:
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -151,9 +151,9 @@
 
 def test_ended_attempts_are_forgotten_after_a_while() -> None:
     # At 5 attempts a second a memory of 65,536 took 13 MB (CAPACITY).
-    memory = attempts.SealMemory()
+    memory = attempts.EndedAttempts()
     for number in range(5000):
-        key = slots.Key(types.RequestId(f"r{number}"), types.Attempt(1))
+        key = slots.AttemptKey(types.RequestId(f"r{number}"), types.Attempt(1))
         memory.add(key, attempts.Ending.RAN, float(number))
-    assert len(memory) <= attempts.KEEP_S + 1
+    assert len(memory) <= attempts.RETENTION_S + 1
     assert memory.ending(key) is attempts.Ending.RAN
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -85,7 +85,7 @@
     except exceptions.BadRequest:
         return
     assert parsed.max_tokens >= 1
-    prompt_chunks.cut_body(parsed.body, 100)
+    prompt_chunks.truncate_prompt(parsed.body, 100)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -41,7 +41,7 @@
         await asyncio.sleep(0.1)
         agent = site.nodes["t2"].agent
         endpoint = _Endpoint()
-        mine = orders.Orders(
+        mine = orders.OrderExecutor(
             name="a1",
             incarnation=types.Incarnation(2),
             agent=agent,
@@ -58,7 +58,7 @@
             mine.on_order(change)
         await asyncio.sleep(0.1)
         assert endpoint.given == ["load y"]
-        assert not agent.book.leaving
+        assert not agent.ledger.leaving
         site.close()
 
     virtual.run(main())
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -10,7 +10,7 @@
 FREE = types.RepeatClass.FREE
 SINGLE = types.RepeatClass.SINGLE
 ONCE = types.RepeatClass.ONCE
-NOTHING = retry.Stage.NOTHING
+NOTHING = retry.Stage.NOT_HANDED_OVER
 HANDED = retry.Stage.HANDED_OVER
 NOT_RUN = types.Outcome.NOT_RUN
 UNKNOWN = types.Outcome.UNKNOWN
@@ -24,7 +24,7 @@
     left_s: float = 1.0,
     attempts: int = 1,
     budget: retry.RetryBudget | None = None,
-) -> retry.Again | retry.GiveUp:
+) -> retry.Retry | retry.GiveUp:
     return retry.after_failure(
         reason=types.Failure.ENGINE,
         ran=ran,
@@ -42,7 +42,7 @@
 def test_what_may_repeat_is_tried_again_in_time(
     repeat: types.RepeatClass,
 ) -> None:
-    assert isinstance(decide(repeat=repeat), retry.Again)
+    assert isinstance(decide(repeat=repeat), retry.Retry)
     late = decide(repeat=repeat, left_s=0.1)
     assert late == retry.GiveUp(UNKNOWN, types.Failure.ENGINE)
     often = decide(repeat=repeat, attempts=retry.MAX_ATTEMPTS)
@@ -52,7 +52,7 @@
 def test_what_may_run_once_is_tried_again_only_if_it_never_ran() -> None:
     assert decide(repeat=ONCE) == retry.GiveUp(UNKNOWN, types.Failure.ENGINE)
     again = decide(repeat=ONCE, ran=False, stage=NOTHING)
-    assert isinstance(again, retry.Again)
+    assert isinstance(again, retry.Retry)
     # Handed over before, even if this part was sealed: it may have run.
     assert isinstance(decide(repeat=ONCE, ran=False), retry.GiveUp)
     late = decide(repeat=ONCE, ran=False, stage=NOTHING, left_s=0.0)
@@ -63,9 +63,9 @@
     budget = retry.RetryBudget()
     retries = 0
     for number in range(3000):
-        budget.request(0.1)
+        budget.record_request(0.1)
         # Every third attempt breaks, and so do a third of the retries.
-        if number % 3 == 0 and isinstance(decide(budget=budget), retry.Again):
+        if number % 3 == 0 and isinstance(decide(budget=budget), retry.Retry):
             retries += 1
     assert retries <= 0.1 * 3000 + 10
     assert retries >= 0.09 * 3000
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -20,7 +20,7 @@
     ).encode()
     whole = prefix.block_hashes(engine.prompt_of(body))
     for tokens in (64, 128, 500, 1024):
-        cut = engine.prompt_of(prompt_chunks.cut_body(body, tokens))
+        cut = engine.prompt_of(prompt_chunks.truncate_prompt(body, tokens))
         found = prefix.block_hashes(cut)
         assert len(found) >= tokens // prefix.BLOCK_TOKENS - 1
         assert found == whole[: len(found)]
