--- a/lab/quota_ways.py
+++ b/lab/quota_ways.py
@@ -84,13 +84,13 @@
 
     def check(
         self, item: model.Organisation, wanted: int, now: float
-    ) -> quota.Refused | None:
+    ) -> quota.OverQuota | None:
         """None where enough is held, or the owner has it."""
         if self._held < wanted and self._world.reaches_owner(self._me):
             self._world.lease_messages += 2
             self._held += self._world.owner.lease(wanted, now)
         if self._held < wanted:
-            return quota.Refused(1.0, 0.0, float(self._held))
+            return quota.OverQuota(1.0, 0.0, float(self._held))
         return None
 
     def admit(
--- a/lab/quota_windows.py
+++ b/lab/quota_windows.py
@@ -21,7 +21,7 @@
 _FORGOTTEN_PART = 0.25
 
 
-class Told(quota.Told, frozen=True, array_like=True, kw_only=True):
+class Told(quota.QuotaReport, frozen=True, array_like=True, kw_only=True):
     """What a gateway tells others of what its clients have spent.
 
     `spent` is within the window; `ended` the same of gateways that have
@@ -102,22 +102,26 @@
 
 
 def against(
-    terms: quota.Terms, used: float, wanted: int, bound: float
-) -> quota.Refused | None:
+    terms: quota.QuotaSettings, used: float, wanted: int, bound: float
+) -> quota.OverQuota | None:
     """None where a request stays within a bound of what is used."""
     over = used + wanted - bound
     if over <= 0.0:
         return None
     # What was spent evenly leaves the window evenly.
     part = min(1.0, over / used) if used > 0.0 else 1.0
-    return quota.Refused(part * terms.window_s, used, bound)
+    return quota.OverQuota(part * terms.window_s, used, bound)
 
 
 class Windows(quota.Quotas):
     """Counts what was admitted here over the window."""
 
     def __init__(
-        self, *, terms: quota.Terms, began: float, limit_of: quota.LimitOf
+        self,
+        *,
+        terms: quota.QuotaSettings,
+        began: float,
+        limit_of: quota.LimitOf,
     ) -> None:
         super().__init__(terms=terms, began=began, limit_of=limit_of)
         self.own = Spent(window_s=terms.window_s)
@@ -128,13 +132,13 @@
         """A request is admitted here, and waits to be sent."""
         self.own.reserve(name, units)
 
-    def sent(
+    def record_sent(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
         """One that was admitted is sent to an endpoint."""
         self.own.sent(name, units, now)
 
-    def not_run(
+    def record_not_run(
         self, name: types.OrganisationName, units: int, at: float, now: float
     ) -> None:
         """What was sent at a reading has not run: it waits again."""
@@ -152,7 +156,7 @@
 
     def check(
         self, item: model.Organisation, wanted: int, now: float
-    ) -> quota.Refused | None:
+    ) -> quota.OverQuota | None:
         """None where this gateway's part has room."""
         if item.quota is None:
             return None
@@ -195,7 +199,11 @@
     """
 
     def __init__(
-        self, *, terms: quota.Terms, began: float, limit_of: quota.LimitOf
+        self,
+        *,
+        terms: quota.QuotaSettings,
+        began: float,
+        limit_of: quota.LimitOf,
     ) -> None:
         super().__init__(terms=terms, began=began, limit_of=limit_of)
         self._heard: dict[types.VmId, _Heard] = {}
@@ -203,31 +211,36 @@
         self._told: dict[types.OrganisationName, int] = {}
         self._whole_at = began
 
-    def take(
-        self, sender: types.VmId, life: int, told: quota.Told, now: float
+    def receive(
+        self,
+        sender: types.VmId,
+        incarnation: int,
+        report: quota.QuotaReport,
+        now: float,
     ) -> bool:
         """Take another gateway's word; whether it has just begun to tell.
 
-        `life` differs after a restart.  A newcomer is told everything next.
+        `incarnation` differs after a restart.  A newcomer is told everything
+        next.
         """
         heard = self._heard.get(sender)
-        is_new = heard is None or heard.life != life
+        is_new = heard is None or heard.life != incarnation
         if heard is None or is_new:
             if heard is not None:
                 self._past.append(_Past(heard.at, heard.spent))
-            heard = self._heard[sender] = _Heard(life=life)
+            heard = self._heard[sender] = _Heard(life=incarnation)
             self._whole_at = now - _WHOLE_S
         heard.at = now
-        heard.up_s = told.up_s
-        if isinstance(told, Told) and told.whole:
-            heard.spent = dict(told.spent)
-            heard.ended = dict(told.ended)
+        heard.up_s = report.uptime_s
+        if isinstance(report, Told) and report.is_complete:
+            heard.spent = dict(report.spent)
+            heard.ended = dict(report.ended)
             heard.ended_at = now
         else:
-            heard.spent.update(told.spent)
+            heard.spent.update(report.spent)
         return is_new
 
-    def tell(self, now: float) -> Told:
+    def next_report(self, now: float) -> Told:
         """What others should know: all, or what has grown since."""
         recent = self.own.recent(now)
         whole = now >= self._whole_at + _WHOLE_S
@@ -242,8 +255,8 @@
             }
         self._told = recent
         return Told(
-            up_s=int(now - self.began),
-            whole=whole,
+            uptime_s=int(now - self.began),
+            is_complete=whole,
             spent=spent,
             ended=self._ended(now) if whole else {},
         )
@@ -298,7 +311,7 @@
 
     def check(
         self, item: model.Organisation, wanted: int, now: float
-    ) -> quota.Refused | None:
+    ) -> quota.OverQuota | None:
         """The limit, and what a start does not remember is left free."""
         if item.quota is None:
             return None
@@ -317,7 +330,7 @@
         if over <= 0.0:
             return None
         room_s = over / item.quota.rate_per_s
-        return quota.Refused(min(room_s, self.terms.window_s), spent, most)
+        return quota.OverQuota(min(room_s, self.terms.window_s), spent, most)
 
     def _spent_by_new(self, name: types.OrganisationName, now: float) -> float:
         """What those have admitted that have not run for a window."""
--- a/rackpost/coordinator/directory.py
+++ b/rackpost/coordinator/directory.py
@@ -42,7 +42,7 @@
         self._fresh: set[types.EndpointId] = set()
         self.gateways: dict[channel.Channel, messages.GatewayHello] = {}
         # What organisations use of their quotas, by gateway.
-        self.quotas: dict[types.VmId, tuple[quota_use.Use, ...]] = {}
+        self.quotas: dict[types.VmId, tuple[quota_use.QuotaUse, ...]] = {}
 
     def update(self, item: endpoints.Endpoint) -> bool:
         """Take news of an endpoint and pass them on if they are any."""
--- a/rackpost/coordinator/messages.py
+++ b/rackpost/coordinator/messages.py
@@ -100,7 +100,7 @@
     """
 
     items: tuple[role_balance.Demand, ...]
-    quotas: tuple[quota_use.Use, ...] = ()
+    quotas: tuple[quota_use.QuotaUse, ...] = ()
 
 
 class Suspicions(_Message, frozen=True, tag="suspicions"):
@@ -148,14 +148,14 @@
     load_address: str
     incarnation: int
     sequence: int
-    loads: dict[types.EndpointId, endpoint_load.Use]
+    loads: dict[types.EndpointId, endpoint_load.EndpointLoad]
     failed: tuple[types.EndpointId, ...] = ()
     rejecting: tuple[types.EndpointId, ...] = ()
-    waiting: tuple[queue_order_mod.Left, ...] = ()
+    waiting: tuple[queue_order_mod.WaitingSummary, ...] = ()
     refused_keys: tuple[int, ...] = ()
-    quotas: quota.Told = quota.Told()
+    quotas: quota.QuotaReport = quota.QuotaReport()
     backoffs: dict[types.EndpointId, float] = {}
-    named_rates: tuple[endpoint_rates.Told, ...] = ()
+    named_rates: tuple[endpoint_rates.RateUpdate, ...] = ()
 
 
 class GrantRequest(_Message, frozen=True, tag="ask-grant"):
@@ -165,16 +165,16 @@
     """
 
     number: int
-    applicant: rate_grants.Wish
-    rate: endpoint_rates.Told
+    applicant: rate_grants.GrantApplicant
+    rate: endpoint_rates.RateUpdate
 
 
 class GrantAnswer(_Message, frozen=True, tag="grant"):
     """The owner's answer; `rate` is what it knows of the rate."""
 
     number: int
-    decision: rate_grants.Verdict
-    rate: endpoint_rates.Told
+    decision: rate_grants.GrantDecision
+    rate: endpoint_rates.RateUpdate
 
 
 class ReturnGrant(_Message, frozen=True, tag="give-back"):
--- a/rackpost/coordinator/overview.py
+++ b/rackpost/coordinator/overview.py
@@ -123,7 +123,7 @@
         routes=() if doc is None else _routes(doc),
         endpoints=_endpoints(directory.table, changing, now),
         quotas=() if doc is None else _quotas(doc, directory),
-        held=tuple(_held_line(item) for item in quarantine.held(now)),
+        held=tuple(_held_line(item) for item in quarantine.quarantined(now)),
     )
 
 
@@ -153,7 +153,7 @@
 
 
 def _quota_line(
-    use: quota_use.Use,
+    use: quota_use.QuotaUse,
     limit: model.Quota | None,
     directory: directory_mod.Directory,
 ) -> QuotaLine:
@@ -174,11 +174,11 @@
     )
 
 
-def _held_line(item: quarantine_mod.Held) -> HeldLine:
+def _held_line(item: quarantine_mod.QuarantinedRequest) -> HeldLine:
     return HeldLine(
         fingerprint=item.request.hex(),
-        endpoints=tuple(life.id for life in item.lives),
-        left_s=round(item.left_s),
+        endpoints=tuple(life.id for life in item.incarnations),
+        left_s=round(item.remaining_s),
     )
 
 
--- a/rackpost/coordinator/quarantine_keeper.py
+++ b/rackpost/coordinator/quarantine_keeper.py
@@ -78,20 +78,20 @@
         self._tell_replicas = tell_replicas
         self._changed = asyncio.Event()
         loaded = self._file.load()
-        self.table.take(loaded, self._loop.time())
+        self.table.add(loaded, self._loop.time())
         if loaded:
             logs.say(
                 logs.Part.COORDINATOR,
                 "Requests held back are known.",
                 suspicions=len(loaded),
-                held=len(self.table.held(self._loop.time())),
+                held=len(self.table.quarantined(self._loop.time())),
             )
 
     def receive(self, msg: messages.Suspicions) -> None:
         """Take what a gateway or another coordinator tells."""
-        for request in self.table.take(msg.items, self._loop.time()):
-            known = self.table.of(request)
-            if len(known) < quarantine.LEAST_TOLD:
+        for request in self.table.add(msg.items, self._loop.time()):
+            known = self.table.suspicions_of(request)
+            if len(known) < quarantine.MIN_ENDED_TO_REPORT:
                 continue
             self._log(request)
             self._changed.set()
@@ -104,13 +104,13 @@
             logs.Part.COORDINATOR,
             "Endpoints ended under a request.",
             fingerprint=request.hex(),
-            endpoints=self.table.ended(request),
-            held_s=round(self.table.left_s(request, now)),
+            endpoints=self.table.ended_endpoints(request),
+            held_s=round(self.table.remaining_s(request, now)),
         )
 
     def for_newcomer(self) -> messages.Suspicions | None:
         """What a gateway that has just linked has to know, if anything."""
-        items = self.table.known(quarantine.LEAST_TOLD)
+        items = self.table.suspicions(quarantine.MIN_ENDED_TO_REPORT)
         return messages.Suspicions(items=items) if items else None
 
     def release(self, request: types.Fingerprint) -> bool:
@@ -119,9 +119,9 @@
         The other coordinators are told, in case that gateways are not linked
         to this one.
         """
-        if not self.table.is_held(request, self._loop.time()):
+        if not self.table.is_quarantined(request, self._loop.time()):
             return False
-        msg = messages.Suspicions(items=self.table.cleared(request))
+        msg = messages.Suspicions(items=self.table.clearances(request))
         self.receive(msg)
         self._tell_replicas(msg)
         return True
@@ -140,7 +140,7 @@
 
     async def _save(self) -> None:
         msg = messages.Suspicions(
-            items=self.table.known(quarantine.LEAST_TOLD)
+            items=self.table.suspicions(quarantine.MIN_ENDED_TO_REPORT)
         )
         try:
             await self._file.save(msg)
--- a/rackpost/coordinator/role_orders.py
+++ b/rackpost/coordinator/role_orders.py
@@ -129,7 +129,10 @@
 
     def _refused(self, endpoint: endpoints.Endpoint) -> OrderOutcome:
         """It was refused: for now, or with the wish for a back-off."""
-        if self._eligible.bar(endpoint, self._loop.time()) is not None:
+        if (
+            self._eligible.ineligible_reason(endpoint, self._loop.time())
+            is not None
+        ):
             return OrderOutcome.BARRED
         return OrderOutcome.REFUSED
 
--- a/rackpost/coordinator/roles.py
+++ b/rackpost/coordinator/roles.py
@@ -266,7 +266,8 @@
                 for item in members
                 if item.role is not role
                 and item.id not in self._changes
-                and self._eligible.bar(item, self._loop.time()) is None
+                and self._eligible.ineligible_reason(item, self._loop.time())
+                is None
             ),
             key=lambda item: item.id,
         )
--- a/rackpost/decide/admission.py
+++ b/rackpost/decide/admission.py
@@ -27,16 +27,16 @@
         slots: how many of them it works on at once.
         work_s: the work of one of them, as observed; 0 if none was.
         target_s: what is left until it would be late; 0 without a target.
-        left_s: what is left of its time.
-        came_back: it was refused before.
+        remaining_s: what is left of its time.
+        refused_before: it was refused before.
     """
 
     ahead: int
     slots: int
     work_s: float
     target_s: float
-    left_s: float
-    came_back: bool
+    remaining_s: float
+    refused_before: bool
 
 
 def expected_s(arrival: Arrival) -> float:
@@ -45,19 +45,19 @@
     return arrival.work_s * max(1.0, rounds)
 
 
-def should_come_back(arrival: Arrival) -> bool:
+def should_refuse(arrival: Arrival) -> bool:
     """Whether it does better to be refused now than to be late.
 
     Only while the endpoint has more to do than it can work on at once.
     """
     if arrival.target_s <= 0.0 or arrival.ahead < arrival.slots:
         return False
-    share = _BACK_SHARE if arrival.came_back else _TARGET_SHARE
+    share = _BACK_SHARE if arrival.refused_before else _TARGET_SHARE
     return expected_s(arrival) > share * arrival.target_s
 
 
-def come_back_s(arrival: Arrival, chance: float) -> float:
-    """When it should come back, in seconds; `chance` is from 0 to 1."""
+def retry_after_s(arrival: Arrival, jitter: float) -> float:
+    """When it should come back, in seconds; `jitter` is from 0 to 1."""
     too_long = expected_s(arrival) - arrival.target_s
-    after = max(_SOONEST_S, too_long) + _SPREAD_S * chance
-    return min(after, _HEEDED * arrival.left_s)
+    after = max(_SOONEST_S, too_long) + _SPREAD_S * jitter
+    return min(after, _HEEDED * arrival.remaining_s)
--- a/rackpost/decide/answer_lengths.py
+++ b/rackpost/decide/answer_lengths.py
@@ -22,11 +22,11 @@
         self._ratio = 1.0
         self._variance = _USUAL_SPREAD * _USUAL_SPREAD
 
-    def ended(self, *, guess: int, made: int) -> None:
+    def record_answer(self, *, guess: int, actual: int) -> None:
         """An answer has come whole."""
-        if guess <= 0 or made <= 0:
+        if guess <= 0 or actual <= 0:
             return
-        ratio = min(_MOST_X, made / guess)
+        ratio = min(_MOST_X, actual / guess)
         off = ratio - self._ratio
         self._variance += _ALPHA * (off * off - self._variance)
         self._ratio += _ALPHA * off
@@ -36,6 +36,6 @@
         """By what part of an answer's length guesses are usually wrong."""
         return math.sqrt(self._variance) / max(1.0, self._ratio)
 
-    def expected(self, guess: int, most: int) -> int:
+    def expected(self, guess: int, max_tokens: int) -> int:
         """Tokens that an answer will have, on the average."""
-        return min(most, int(guess * max(1.0, self._ratio)))
+        return min(max_tokens, int(guess * max(1.0, self._ratio)))
--- a/rackpost/decide/backoff.py
+++ b/rackpost/decide/backoff.py
@@ -63,14 +63,14 @@
     taken: int = 0
 
 
-class BackoffBook:
+class BackoffTable:
     """What the endpoints have asked of one process."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
         self._records: dict[endpoints.Incarnation, _Record] = {}
 
-    def asked(
+    def record_backoff(
         self, endpoint: endpoints.Endpoint, backoff_s: float, now: float
     ) -> bool:
         """It wants nothing for so long; whether that is longer than known.
@@ -89,11 +89,11 @@
         )
         return True
 
-    def binds(self, endpoint: endpoints.Endpoint, now: float) -> bool:
+    def is_active(self, endpoint: endpoints.Endpoint, now: float) -> bool:
         """Whether nothing may be sent there now."""
-        return self.left_s(endpoint, now) > 0.0
+        return self.remaining_s(endpoint, now) > 0.0
 
-    def may_begin(self, endpoint: endpoints.Endpoint, now: float) -> bool:
+    def may_select(self, endpoint: endpoints.Endpoint, now: float) -> bool:
         """Whether one more request may be meant for it."""
         if not self._records:
             return True
@@ -104,24 +104,28 @@
             return False
         return record.begun < _FIRST + _EACH * record.taken
 
-    def opens_at(self, endpoint: endpoints.Endpoint) -> float:
+    def available_at(self, endpoint: endpoints.Endpoint) -> float:
         """Clock reading at which the first request may begin there."""
         record = self._records.get(endpoint.incarnation)
         return 0.0 if record is None else record.opens
 
-    def begun(self, endpoint: endpoints.Endpoint, now: float) -> None:
+    def record_selection(
+        self, endpoint: endpoints.Endpoint, now: float
+    ) -> None:
         """A request was chosen to go there."""
         record = self._records.get(endpoint.incarnation)
         if record is not None and now >= record.opens:
             record.begun += 1
 
-    def taken(self, endpoint: endpoints.Endpoint, now: float) -> None:
+    def record_accepted(
+        self, endpoint: endpoints.Endpoint, now: float
+    ) -> None:
         """It has answered a request other than by turning it away."""
         record = self._records.get(endpoint.incarnation)
         if record is not None and now >= record.opens:
             record.taken += 1
 
-    def left_s(self, endpoint: endpoints.Endpoint, now: float) -> float:
+    def remaining_s(self, endpoint: endpoints.Endpoint, now: float) -> float:
         """How much longer nothing may be sent there, in seconds."""
         if not self._records:
             # As a rule; asked for each endpoint in each choice.
--- a/rackpost/decide/eligibility.py
+++ b/rackpost/decide/eligibility.py
@@ -25,7 +25,7 @@
 from rackpost import types
 
 
-class Bar(enum.Enum):
+class IneligibleReason(enum.Enum):
     """Why nothing may be sent to an endpoint."""
 
     GONE = "gone"
@@ -35,16 +35,16 @@
     RATE = "rate is used up"
 
 
-class Said(NamedTuple):
+class EndpointFeedback(NamedTuple):
     """What an endpoint's answer says of later requests.
 
     `backoff_s` is how long it wants none, None where it asks for no time;
-    `turned_away` tells that it did not take this one for want of room.
+    `rejected` tells that it did not take this one for want of room.
     """
 
     backoff_s: float | None
     leaving: bool
-    turned_away: bool
+    rejected: bool
 
 
 class Eligibility:
@@ -57,16 +57,16 @@
         rng: random.Random,
     ) -> None:
         self._table = table
-        self.backoffs = backoff.BackoffBook(rng=rng)
-        self.rates = endpoint_rates.RateBook()
-        self.gate = rate_gate.RateGate(book=self.rates)
+        self.backoffs = backoff.BackoffTable(rng=rng)
+        self.rates = endpoint_rates.RateTable()
+        self.gate = rate_gate.RateGate(rates=self.rates)
         self._changing: frozenset[types.EndpointId] = frozenset()
 
-    def set_changing(self, keys: Iterable[types.EndpointId]) -> None:
+    def set_changing_role(self, keys: Iterable[types.EndpointId]) -> None:
         """These endpoints change their role and take nothing now."""
         self._changing = frozenset(keys)
 
-    def who_answered(
+    def answering_endpoint(
         self, asked: endpoints.Endpoint, told: types.EndpointId | None
     ) -> endpoints.Endpoint | None:
         """Whose answer it is: another one may have come to the address.
@@ -77,21 +77,23 @@
             return asked
         return self._table.alive.get(told)
 
-    def answered(
-        self, endpoint: endpoints.Endpoint, said: Said, now: float
-    ) -> frozenset[Bar]:
+    def record_feedback(
+        self, endpoint: endpoints.Endpoint, said: EndpointFeedback, now: float
+    ) -> frozenset[IneligibleReason]:
         """Note what an answer says of later requests; which is news."""
         news = set()
         if said.leaving and self._table.record_leaving(endpoint):
-            news.add(Bar.LEAVING)
+            news.add(IneligibleReason.LEAVING)
         if said.backoff_s is not None:
-            if self.backoffs.asked(endpoint, said.backoff_s, now):
-                news.add(Bar.BACKOFF)
-        elif not said.turned_away:
-            self.backoffs.taken(endpoint, now)
+            if self.backoffs.record_backoff(endpoint, said.backoff_s, now):
+                news.add(IneligibleReason.BACKOFF)
+        elif not said.rejected:
+            self.backoffs.record_accepted(endpoint, now)
         return frozenset(news)
 
-    def bar(self, endpoint: endpoints.Endpoint, now: float) -> Bar | None:
+    def ineligible_reason(
+        self, endpoint: endpoints.Endpoint, now: float
+    ) -> IneligibleReason | None:
         """Why nothing may be sent there now; None if it may.
 
         Asked when an endpoint is chosen, and again just before anything is
@@ -99,54 +101,60 @@
         """
         known = self._table.alive.get(endpoint.id)
         if known is None:
-            return Bar.GONE
+            return IneligibleReason.GONE
         if known.state is not endpoints.EndpointState.READY:
-            return Bar.LEAVING
+            return IneligibleReason.LEAVING
         if known.id in self._changing:
-            return Bar.CHANGING_ROLE
-        if self.backoffs.binds(known, now):
-            return Bar.BACKOFF
+            return IneligibleReason.CHANGING_ROLE
+        if self.backoffs.is_active(known, now):
+            return IneligibleReason.BACKOFF
         return None
 
-    def backoffs_left(self, now: float) -> dict[types.EndpointId, float]:
+    def remaining_backoffs(self, now: float) -> dict[types.EndpointId, float]:
         """How long this process is still to send nothing, in seconds."""
         if not self.backoffs.size:
             return {}
         found = {
-            item.id: self.backoffs.left_s(item, now)
+            item.id: self.backoffs.remaining_s(item, now)
             for item in self._table.alive.values()
         }
         return {key: left_s for key, left_s in found.items() if left_s > 0.0}
 
-    def may_begin(self, endpoint: endpoints.Endpoint, now: float) -> bool:
+    def may_select(self, endpoint: endpoints.Endpoint, now: float) -> bool:
         """Whether a request may be meant for it now."""
         return (
-            self.bar(endpoint, now) is None
-            and self.backoffs.may_begin(endpoint, now)
-            and self.gate.may_begin(endpoint, now)
+            self.ineligible_reason(endpoint, now) is None
+            and self.backoffs.may_select(endpoint, now)
+            and self.gate.may_select(endpoint, now)
         )
 
-    def chose(self, endpoint: endpoints.Endpoint, now: float) -> None:
+    def record_selection(
+        self, endpoint: endpoints.Endpoint, now: float
+    ) -> None:
         """A request is meant for it."""
-        self.backoffs.begun(endpoint, now)
-        self.gate.chose(endpoint, now)
+        self.backoffs.record_selection(endpoint, now)
+        self.gate.record_selection(endpoint, now)
 
-    def opens_at(
+    def available_at(
         self, endpoint: endpoints.Endpoint, now: float
     ) -> float | None:
         """When a request may be meant for it, as far as that is known.
 
         None where it is not: only a back-off and a rate say when.
         """
-        if self.bar(endpoint, now) not in (None, Bar.BACKOFF):
+        if self.ineligible_reason(endpoint, now) not in (
+            None,
+            IneligibleReason.BACKOFF,
+        ):
             return None
         return max(
-            self.backoffs.opens_at(endpoint), self.gate.opens_at(endpoint)
+            self.backoffs.available_at(endpoint),
+            self.gate.available_at(endpoint),
         )
 
     def forget_rates(self) -> None:
         """Forget what lives of endpoints that are gone have named."""
-        self.rates.keep(
+        self.rates.retain(
             {item.incarnation for item in self._table.alive.values()}
         )
         self.gate.forget()
--- a/rackpost/decide/endpoint_choice.py
+++ b/rackpost/decide/endpoint_choice.py
@@ -37,14 +37,14 @@
 _MOST_PLACES = 3
 
 
-class InPlace(NamedTuple):
+class InPlacePrefill(NamedTuple):
     """A prompt that a decode endpoint reads itself.
 
     It holds up the tokens of all that run there: one is read at a time,
-    and those that run make an event in between, in `rest_s` seconds.
+    and those that run make an event in between, in `min_interval_s` seconds.
     """
 
-    rest_s: float
+    min_interval_s: float
 
 
 class Chooser:
@@ -54,8 +54,8 @@
         self,
         *,
         candidates: candidates_mod.Candidates,
-        loads: endpoint_load.LoadBook,
-        health: endpoint_health.HealthBook,
+        loads: endpoint_load.LoadTable,
+        health: endpoint_health.HealthTracker,
         data_centre: types.DataCentre,
         rng: random.Random,
     ) -> None:
@@ -70,20 +70,24 @@
         """So many gateways choose among the same endpoints."""
         self._gateways = count
 
-    def plain(
+    def choose_plain(
         self,
         service: types.ServiceName,
         *,
-        but: Sequence[types.EndpointId] = (),
+        exclude: Sequence[types.EndpointId] = (),
         now: float,
     ) -> endpoints.Endpoint | None:
         """The endpoint of a plain service where the wait is least."""
         found = self.candidates.find(
-            service, types.Role.PLAIN, but=but, now=now
+            service, types.Role.PLAIN, exclude=exclude, now=now
         )
         if all(self._is_crowded(item) for item in found):
             found = self.candidates.find(
-                service, types.Role.PLAIN, but=but, now=now, failed_too=True
+                service,
+                types.Role.PLAIN,
+                exclude=exclude,
+                now=now,
+                include_failed=True,
             )
         with_room = self._with_room(found, now)
         if not all(self._is_crowded(item) for item in with_room):
@@ -109,7 +113,7 @@
             item
             for item in found
             if not self._health.is_full(item.id, now)
-            and not self._health.others_wait(item.id, now)
+            and not self._health.has_reported_backoff(item.id, now)
         ]
 
     def _is_crowded(self, item: endpoints.Endpoint) -> bool:
@@ -117,28 +121,28 @@
         under_way = self._loads.total(item.id).requests
         return under_way >= _CROWDED_ROUNDS * item.slots
 
-    def prefill(
+    def choose_prefill(
         self,
         service: types.ServiceName,
         prompt: int,
         *,
-        but: Sequence[types.EndpointId] = (),
-        most_ahead: int | None = None,
+        exclude: Sequence[types.EndpointId] = (),
+        max_ahead_tokens: int | None = None,
         now: float,
     ) -> endpoints.Endpoint | None:
         """The prefill endpoint with the least to read before `prompt`.
 
         None where there is none with a free slot, and at most
-        `most_ahead` tokens to read first.
+        `max_ahead_tokens` tokens to read first.
         """
-        found = self._prefilling(service, but, now)
+        found = self._prefilling(service, exclude, now)
         usual = self._usual_s(found)
         free = []
         for item in found:
-            if not self._takes_prompt(item, most_ahead, now):
+            if not self._takes_prompt(item, max_ahead_tokens, now):
                 continue
             slow = self._health.slowness(item.id, usual)
-            ahead = self._loads.total(item.id).prompt
+            ahead = self._loads.total(item.id).prompt_tokens
             wait = (ahead + prompt) * slow * self._far(item)
             free.append((wait, item))
         return self._least(self._spared(free, now))
@@ -152,7 +156,11 @@
         # Where all of them fail, prompts are read in place at once: four
         # gateways went on sending to one that refused connections.
         return self.candidates.find(
-            service, types.Role.PREFILL, but=but, now=now, well_only=True
+            service,
+            types.Role.PREFILL,
+            exclude=but,
+            now=now,
+            healthy_only=True,
         )
 
     def _takes_prompt(
@@ -161,7 +169,7 @@
         use = self._loads.total(item.id)
         if use.requests >= item.slots or self._health.is_full(item.id, now):
             return False
-        return most_ahead is None or use.prompt <= most_ahead
+        return most_ahead is None or use.prompt_tokens <= most_ahead
 
     def _least(
         self, found: list[tuple[float, endpoints.Endpoint]]
@@ -172,20 +180,20 @@
         requests up to a second, would all take the least: of two at random
         each takes the lesser.
         """
-        if self._gateways > fleet_size.RACING:
+        if self._gateways > fleet_size.MAX_GATEWAYS_WITHOUT_RACES:
             self._rng.shuffle(found)
             del found[2:]
         best = min(found, key=lambda pair: pair[0], default=None)
         return best[1] if best else None
 
-    def decode(
+    def choose_decode(
         self,
         service: types.ServiceName,
         run: kv_forecast.Run,
         capacity: int,
         *,
-        in_place: InPlace | None = None,
-        but: Sequence[types.EndpointId] = (),
+        in_place: InPlacePrefill | None = None,
+        exclude: Sequence[types.EndpointId] = (),
         now: float,
     ) -> endpoints.Endpoint | None:
         """The decode endpoint with the most room; None if none has it.
@@ -193,7 +201,7 @@
         `capacity` is the KV memory of each endpoint, in tokens.
         """
         found = self.candidates.find(
-            service, types.Role.DECODE, but=but, now=now
+            service, types.Role.DECODE, exclude=exclude, now=now
         )
         fitting = []
         for item in found:
@@ -213,7 +221,7 @@
         rest = [
             pair
             for pair in found
-            if not self._health.others_wait(pair[1].id, now)
+            if not self._health.has_reported_backoff(pair[1].id, now)
         ]
         return rest or found
 
@@ -222,7 +230,7 @@
         item: endpoints.Endpoint,
         runs: list[kv_forecast.Run],
         capacity: int,
-        in_place: InPlace | None,
+        in_place: InPlacePrefill | None,
         now: float,
     ) -> int | None:
         """How full it would get with further runs; None if it can't."""
@@ -235,31 +243,31 @@
             may_read = self._may_read(item, use, in_place, now)
             if len(runs) > 1 or not may_read:
                 return None
-        peak = kv_forecast.peak([*use.runs, *runs])
+        peak = kv_forecast.peak_tokens([*use.runs, *runs])
         return peak if peak <= capacity else None
 
     def _may_read(
         self,
         item: endpoints.Endpoint,
-        use: endpoint_load.Use,
-        in_place: InPlace,
+        use: endpoint_load.EndpointLoad,
+        in_place: InPlacePrefill,
         now: float,
     ) -> bool:
         """Whether it is the turn of one more prompt to be read there."""
-        if use.prompt > 0:
+        if use.prompt_tokens > 0:
             return False
         # Where nothing runs, nobody needs a pause.
-        return not use.runs or not self._loads.rests(
-            item.id, in_place.rest_s, now
+        return not use.runs or not self._loads.prefilled_within(
+            item.id, in_place.min_interval_s, now
         )
 
-    def places(
+    def decode_capacity(
         self,
         service: types.ServiceName,
         run: kv_forecast.Run,
         capacity: int,
         *,
-        in_place: InPlace | None = None,
+        in_place: InPlacePrefill | None = None,
         now: float,
     ) -> int:
         """How many runs like this one there is room for, some at most."""
@@ -274,7 +282,7 @@
         item: endpoints.Endpoint,
         run: kv_forecast.Run,
         capacity: int,
-        in_place: InPlace | None,
+        in_place: InPlacePrefill | None,
         now: float,
     ) -> int:
         for count in range(_MOST_PLACES):
@@ -284,47 +292,53 @@
                 return count
         return _MOST_PLACES
 
-    def reads_in_place(self, service: types.ServiceName, now: float) -> bool:
+    def must_prefill_in_place(
+        self, service: types.ServiceName, now: float
+    ) -> bool:
         """Whether no endpoint prefills, so that decodes read themselves.
 
         One that asked for a short back-off is waited for.
         """
         if self._prefilling(service, (), now):
             return False
-        soon = self.candidates.open_by(
+        soon = self.candidates.available_by(
             service, types.Role.PREFILL, now + _SHORT_S, now
         )
-        return all(self._health.avoided(item.id, now) for item in soon)
+        return all(self._health.is_avoided(item.id, now) for item in soon)
 
-    def takes_all_prompts(
+    def accepts_all_prompts(
         self, service: types.ServiceName, since: float, now: float
     ) -> bool:
         """Whether no endpoint that prefills has turned one away since."""
         found = self._prefilling(service, (), now)
         return not any(
-            self._health.turned_away_since(item.id, since) for item in found
+            self._health.rejected_since(item.id, since) for item in found
         )
 
-    def prefill_places(
-        self, service: types.ServiceName, most_ahead: int, now: float
+    def prefill_capacity(
+        self, service: types.ServiceName, max_ahead_tokens: int, now: float
     ) -> int:
         """How many prompts can be taken now, one at each endpoint."""
         found = self._prefilling(service, (), now)
-        return sum(self._takes_prompt(item, most_ahead, now) for item in found)
+        return sum(
+            self._takes_prompt(item, max_ahead_tokens, now) for item in found
+        )
 
-    def running(self, service: types.ServiceName, now: float) -> int:
+    def running_generations(
+        self, service: types.ServiceName, now: float
+    ) -> int:
         """How many generations hold a place that will come free.
 
         Those at an endpoint in its back-off as well: they go on.
         """
-        found = self.candidates.open_by(
+        found = self.candidates.available_by(
             service, types.Role.DECODE, math.inf, now
         )
         return sum(len(self._loads.total(item.id).runs) for item in found)
 
-    def free_slots(self, service: types.ServiceName, now: float) -> int:
+    def free_decode_slots(self, service: types.ServiceName, now: float) -> int:
         """Slots of decode endpoints that are free, now or when they open."""
-        found = self.candidates.open_by(
+        found = self.candidates.available_by(
             service, types.Role.DECODE, math.inf, now
         )
         return sum(
@@ -332,14 +346,16 @@
             for item in found
         )
 
-    def usual_s(self, service: types.ServiceName, role: types.Role) -> float:
+    def median_answer_s(
+        self, service: types.ServiceName, role: types.Role
+    ) -> float:
         """What an answer usually takes there, in seconds."""
         return self._usual_s(self.candidates.members(service, role))
 
     def _usual_s(self, found: Sequence[endpoints.Endpoint]) -> float:
         known = sorted(
             took
-            for took in (self._health.answer_s(item.id) for item in found)
+            for took in (self._health.mean_answer_s(item.id) for item in found)
             if took is not None
         )
         return known[len(known) // 2] if known else _USUAL_S
--- a/rackpost/decide/endpoint_health.py
+++ b/rackpost/decide/endpoint_health.py
@@ -37,7 +37,7 @@
         self.full_at = -math.inf
 
 
-class HealthBook:
+class HealthTracker:
     """Running averages for each endpoint."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
     def _record(self, endpoint: types.EndpointId) -> _Record:
         return self._records.setdefault(endpoint, _Record())
 
-    def answered(self, endpoint: types.EndpointId, took_s: float) -> None:
+    def record_answer(self, endpoint: types.EndpointId, took_s: float) -> None:
         """A whole answer came, of whatever status but an own failure."""
         record = self._record(endpoint)
         record.failed_in_row = 0
@@ -57,7 +57,7 @@
             record.answer_s = took_s
         record.answer_s += _ALPHA * (took_s - record.answer_s)
 
-    def worked(
+    def record_work(
         self, endpoint: types.EndpointId, took_s: float, rounds: float
     ) -> None:
         """An answer took so long with `rounds` full rounds before its end."""
@@ -71,12 +71,12 @@
         record = self._records.get(endpoint)
         return 0.0 if record is None else record.work_s
 
-    def erred(self, endpoint: types.EndpointId) -> None:
+    def record_error(self, endpoint: types.EndpointId) -> None:
         """The endpoint answered with a failure of its own."""
         record = self._record(endpoint)
         record.failing += _ALPHA * (1.0 - record.failing)
 
-    def broke(self, endpoint: types.EndpointId, now: float) -> bool:
+    def record_failure(self, endpoint: types.EndpointId, now: float) -> bool:
         """No connection, or no sound answer; whether this is news."""
         record = self._record(endpoint)
         record.failing += _ALPHA * (1.0 - record.failing)
@@ -85,7 +85,7 @@
         record.avoid_until = now + min(pause, _MAX_PAUSE_S)
         return record.failed_in_row == 1
 
-    def turned_away(self, endpoint: types.EndpointId, now: float) -> None:
+    def record_rejection(self, endpoint: types.EndpointId, now: float) -> None:
         """It had no room for a request, whatever the figures say."""
         record = self._record(endpoint)
         record.full_in_row += 1
@@ -93,13 +93,15 @@
         pause = _FULL_S * 2 ** (record.full_in_row - 1)
         record.full_until = now + min(pause, _MAX_FULL_S)
 
-    def told_full(self, endpoint: types.EndpointId, now: float) -> None:
+    def record_reported_full(
+        self, endpoint: types.EndpointId, now: float
+    ) -> None:
         """Another gateway was turned away there just now."""
         record = self._record(endpoint)
         record.full_at = now
         record.full_until = max(record.full_until, now + _FULL_S)
 
-    def told_backoff(
+    def record_reported_backoff(
         self, endpoint: types.EndpointId, left_s: float, now: float
     ) -> None:
         """Another gateway was asked to send it nothing for so long.
@@ -110,7 +112,9 @@
         record = self._record(endpoint)
         record.others_wait_until = now + min(left_s, _TOLD_S)
 
-    def others_wait(self, endpoint: types.EndpointId, now: float) -> bool:
+    def has_reported_backoff(
+        self, endpoint: types.EndpointId, now: float
+    ) -> bool:
         """Whether another gateway is to send it nothing."""
         record = self._records.get(endpoint)
         return record is not None and now < record.others_wait_until
@@ -120,14 +124,12 @@
         record = self._records.get(endpoint)
         return record is not None and now < record.full_until
 
-    def turned_away_since(
-        self, endpoint: types.EndpointId, since: float
-    ) -> bool:
+    def rejected_since(self, endpoint: types.EndpointId, since: float) -> bool:
         """Whether any gateway has told of a request that it turned away."""
         record = self._records.get(endpoint)
         return record is not None and record.full_at > since
 
-    def full(self, now: float) -> tuple[types.EndpointId, ...]:
+    def full_endpoints(self, now: float) -> tuple[types.EndpointId, ...]:
         """Endpoints that have just turned this gateway away."""
         return tuple(
             key
@@ -135,12 +137,14 @@
             if record.full_in_row and now < record.full_until
         )
 
-    def told(self, endpoint: types.EndpointId, now: float) -> None:
+    def record_reported_failure(
+        self, endpoint: types.EndpointId, now: float
+    ) -> None:
         """Another gateway has seen it fail just now."""
         record = self._record(endpoint)
         record.avoid_until = max(record.avoid_until, now + _PAUSE_S)
 
-    def broken(self, now: float) -> tuple[types.EndpointId, ...]:
+    def failed_endpoints(self, now: float) -> tuple[types.EndpointId, ...]:
         """Endpoints whose failure this gateway has just seen itself."""
         return tuple(
             key
@@ -148,7 +152,7 @@
             if record.failed_in_row and now < record.avoid_until
         )
 
-    def avoided(self, endpoint: types.EndpointId, now: float) -> bool:
+    def is_avoided(self, endpoint: types.EndpointId, now: float) -> bool:
         """Whether it has just failed and is left alone for a while."""
         record = self._records.get(endpoint)
         return record is not None and now < record.avoid_until
@@ -163,7 +167,7 @@
             times = max(0.25, record.answer_s / usual_s)
         return times * (1.0 + _FAILING_X * record.failing)
 
-    def answer_s(self, endpoint: types.EndpointId) -> float | None:
+    def mean_answer_s(self, endpoint: types.EndpointId) -> float | None:
         """The running average of its answers' time, in seconds."""
         record = self._records.get(endpoint)
         return None if record is None else record.answer_s
--- a/rackpost/decide/endpoint_load.py
+++ b/rackpost/decide/endpoint_load.py
@@ -22,17 +22,17 @@
 _FIRST_S = 1.3
 
 
-class Use(msgspec.Struct, array_like=True, kw_only=True):
+class EndpointLoad(msgspec.Struct, array_like=True, kw_only=True):
     """What is under way at one endpoint.
 
     Attributes:
         requests: requests that run or wait there.
-        prompt: tokens of prompts that are still to be prefilled.
+        prompt_tokens: tokens of prompts that are still to be prefilled.
         runs: what decodes hold of its KV memory.
     """
 
     requests: int = 0
-    prompt: int = 0
+    prompt_tokens: int = 0
     runs: list[kv_forecast.Run] = []
 
 
@@ -43,24 +43,24 @@
         self.life = 0
         self.number = -1
         self.at = 0.0
-        self.uses: dict[types.EndpointId, Use] = {}
-        self.first: tuple[queue_order_mod.Left, ...] = ()
+        self.uses: dict[types.EndpointId, EndpointLoad] = {}
+        self.first: tuple[queue_order_mod.WaitingSummary, ...] = ()
 
 
-class LoadBook:
+class LoadTable:
     """Own and others' use of the endpoints."""
 
-    def __init__(self, *, changed: Callable[[], None]) -> None:
-        """`changed` is called when others should know own figures."""
-        self.own: dict[types.EndpointId, Use] = {}
-        self._changed = changed
+    def __init__(self, *, on_change: Callable[[], None]) -> None:
+        """`on_change` is called when others should know own figures."""
+        self.own: dict[types.EndpointId, EndpointLoad] = {}
+        self._changed = on_change
         self._others: dict[types.VmId, _Heard] = {}
         # The same figures by endpoint: few gateways use one at a time.
-        self._at: dict[types.EndpointId, dict[types.VmId, Use]] = {}
+        self._at: dict[types.EndpointId, dict[types.VmId, EndpointLoad]] = {}
         self._read_at: dict[types.EndpointId, float] = {}
 
     @contextlib.contextmanager
-    def held(
+    def request_added(
         self,
         endpoint: types.EndpointId,
         *,
@@ -68,13 +68,13 @@
         run: kv_forecast.Run | None = None,
     ) -> Iterator[None]:
         """Count one request at an endpoint while the block runs."""
-        release = self.hold(endpoint, prompt=prompt, run=run)
+        release = self.add_request(endpoint, prompt=prompt, run=run)
         try:
             yield
         finally:
             release()
 
-    def hold(
+    def add_request(
         self,
         endpoint: types.EndpointId,
         *,
@@ -82,9 +82,9 @@
         run: kv_forecast.Run | None = None,
     ) -> Callable[[], None]:
         """Count one request at an endpoint until the result is called."""
-        use = self.own.setdefault(endpoint, Use())
+        use = self.own.setdefault(endpoint, EndpointLoad())
         use.requests += 1
-        use.prompt += prompt
+        use.prompt_tokens += prompt
         if run is not None:
             use.runs.append(run)
         is_told = run is not None or prompt > 0
@@ -92,7 +92,7 @@
 
         def release() -> None:
             use.requests -= 1
-            use.prompt -= prompt
+            use.prompt_tokens -= prompt
             if run is not None:
                 _remove(use.runs, run)
             if use.requests == 0:
@@ -102,55 +102,65 @@
         return release
 
     def _note_change(self, is_told: bool) -> None:
-        if is_told or self.gateways <= fleet_size.TOLD_SINGLY:
+        if (
+            is_told
+            or self.gateway_count
+            <= fleet_size.MAX_GATEWAYS_FOR_INSTANT_REPORTS
+        ):
             self._changed()
 
-    def take(
+    def receive(
         self,
         sender: types.VmId,
-        life: int,
-        number: int,
-        uses: dict[types.EndpointId, Use],
+        incarnation: int,
+        sequence: int,
+        loads: dict[types.EndpointId, EndpointLoad],
         now: float,
-        first: tuple[queue_order_mod.Left, ...] = (),
+        waiting: tuple[queue_order_mod.WaitingSummary, ...] = (),
     ) -> None:
         """Take another gateway's figures; older ones are dropped.
 
-        `life` differs after a restart, when numbers begin anew; `first`
-        are those that wait for a place and go first.
+        `incarnation` differs after a restart, when numbers begin anew;
+        `waiting` are those that wait for a place and go first.
         """
         heard = self._others.setdefault(sender, _Heard())
-        if life == heard.life and number <= heard.number:
+        if incarnation == heard.life and sequence <= heard.number:
             return
-        heard.life = life
-        heard.number = number
+        heard.life = incarnation
+        heard.number = sequence
         heard.at = now
-        self._note_read_since(heard, uses, now)
+        self._note_read_since(heard, loads, now)
         self._unindex(sender, heard)
-        heard.uses = uses
-        for endpoint, use in uses.items():
+        heard.uses = loads
+        for endpoint, use in loads.items():
             self._at.setdefault(endpoint, {})[sender] = use
-        heard.first = first
+        heard.first = waiting
 
     def _note_read_since(
-        self, heard: _Heard, uses: dict[types.EndpointId, Use], now: float
+        self,
+        heard: _Heard,
+        uses: dict[types.EndpointId, EndpointLoad],
+        now: float,
     ) -> None:
         """Note where a gateway has no prompt any more that is read."""
         for endpoint, use in heard.uses.items():
-            if use.prompt and not uses.get(endpoint, Use()).prompt:
-                self.note_read(endpoint, now)
+            if (
+                use.prompt_tokens
+                and not uses.get(endpoint, EndpointLoad()).prompt_tokens
+            ):
+                self.record_prefilled(endpoint, now)
 
-    def note_read(self, endpoint: types.EndpointId, now: float) -> None:
+    def record_prefilled(self, endpoint: types.EndpointId, now: float) -> None:
         """An endpoint has read a prompt to its end."""
         self._read_at[endpoint] = now
 
-    def rests(
+    def prefilled_within(
         self, endpoint: types.EndpointId, rest_s: float, now: float
     ) -> bool:
         """Whether its last prompt was read less than `rest_s` ago."""
         return now < self._read_at.get(endpoint, -rest_s) + rest_s
 
-    def heard_from(self, sender: types.VmId, since: float) -> bool:
+    def received_since(self, sender: types.VmId, since: float) -> bool:
         """Whether a gateway has told its figures after a clock reading."""
         heard = self._others.get(sender)
         return heard is not None and heard.at > since
@@ -178,17 +188,17 @@
                 self.forget(sender)
 
     @property
-    def gateways(self) -> int:
+    def gateway_count(self) -> int:
         """How many gateways tell their figures, this one included."""
         return len(self._others) + 1
 
-    def oldest_s(self, now: float) -> float:
+    def oldest_age_s(self, now: float) -> float:
         """Age of the oldest figures that count, in seconds."""
         ages = (now - heard.at for heard in self._others.values())
         return max(ages, default=0.0)
 
-    def ahead(
-        self, left: queue_order_mod.Left, me: types.VmId, now: float
+    def waiting_ahead(
+        self, left: queue_order_mod.WaitingSummary, me: types.VmId, now: float
     ) -> int:
         """How many that wait at other gateways go before one here."""
         mine = left.rank(0.0)
@@ -199,19 +209,21 @@
                 continue
             for other in heard.first:
                 rank = other.rank(age)
-                if queue_order_mod.goes_before(rank, sender, mine, me):
+                if queue_order_mod.is_ahead(rank, sender, mine, me):
                     count += 1
         return count
 
-    def total(self, endpoint: types.EndpointId) -> Use:
+    def total(self, endpoint: types.EndpointId) -> EndpointLoad:
         """All use of an endpoint that is known."""
-        mine = self.own.get(endpoint, Use())
-        found = Use(
-            requests=mine.requests, prompt=mine.prompt, runs=list(mine.runs)
+        mine = self.own.get(endpoint, EndpointLoad())
+        found = EndpointLoad(
+            requests=mine.requests,
+            prompt_tokens=mine.prompt_tokens,
+            runs=list(mine.runs),
         )
         for use in self._at.get(endpoint, {}).values():
             found.requests += use.requests
-            found.prompt += use.prompt
+            found.prompt_tokens += use.prompt_tokens
             found.runs += use.runs
         return found
 
--- a/rackpost/decide/endpoint_rates.py
+++ b/rackpost/decide/endpoint_rates.py
@@ -32,7 +32,7 @@
 _MOST_TOLD = 64
 
 
-class Named(NamedTuple):
+class AnswerRate(NamedTuple):
     """What an answer says of a rate.
 
     `per_s` is the rate in requests a second, None where it names none;
@@ -43,7 +43,7 @@
     unreadable: bool = False
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class RateUpdate(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """What one process tells another of an endpoint's rate.
 
     `per_s` is None where the rate has ended, `age_s` how long ago an answer
@@ -77,7 +77,7 @@
     without: int = 0
 
 
-class RateBook:
+class RateTable:
     """The rates that endpoints name, as one process knows them."""
 
     def __init__(self) -> None:
@@ -96,14 +96,14 @@
         record = self._records.get(endpoint.incarnation)
         return None if record is None else record.per_s
 
-    def is_first_unreadable(self, endpoint: endpoints.Endpoint) -> bool:
+    def record_unreadable(self, endpoint: endpoints.Endpoint) -> bool:
         """Note one that can't be read; whether it is this life's first."""
         is_first = endpoint.incarnation not in self._unreadable
         self._unreadable.add(endpoint.incarnation)
         return is_first
 
-    def answered(
-        self, endpoint: endpoints.Endpoint, named: Named, now: float
+    def record_answer(
+        self, endpoint: endpoints.Endpoint, named: AnswerRate, now: float
     ) -> bool:
         """Note what an answer's head names; whether the rate has changed.
 
@@ -152,7 +152,7 @@
         record.at = now
         return True
 
-    def told(self, told: Told, now: float) -> bool:
+    def receive(self, told: RateUpdate, now: float) -> bool:
         """Take another process's word, if it is later; whether it is news."""
         at = now - told.age_s
         key = told.incarnation
@@ -163,7 +163,7 @@
             return False
         return self._put(key, told.per_s, at=at, now=now)
 
-    def tell(self, now: float) -> tuple[Told, ...]:
+    def next_updates(self, now: float) -> tuple[RateUpdate, ...]:
         """What others should know: what has changed since, or all of it.
 
         All once in `_WHOLE_S`, so that a word that was lost is made good.
@@ -177,19 +177,19 @@
         for key in keys:
             # Those that are told go last the next time.
             self._records[key] = self._records.pop(key)
-        return tuple(self.tell_one(key, now) for key in keys)
+        return tuple(self.update_for(key, now) for key in keys)
 
-    def tell_one(self, key: endpoints.Incarnation, now: float) -> Told:
+    def update_for(self, key: endpoints.Incarnation, now: float) -> RateUpdate:
         """What others should know of one endpoint."""
         record = self._records.get(key)
-        return Told(
+        return RateUpdate(
             endpoint=key.id,
             born=key.born,
             per_s=None if record is None else record.per_s,
             age_s=math.inf if record is None else round(now - record.at, 3),
         )
 
-    def keep(self, alive: Collection[endpoints.Incarnation]) -> None:
+    def retain(self, alive: Collection[endpoints.Incarnation]) -> None:
         """Forget all lives of endpoints but these."""
         for key in list(self._records):
             if key not in alive:
@@ -197,6 +197,6 @@
         self._unreadable.intersection_update(alive)
 
     @property
-    def known(self) -> tuple[endpoints.Incarnation, ...]:
+    def incarnations(self) -> tuple[endpoints.Incarnation, ...]:
         """The lives of endpoints that have named a rate."""
         return tuple(self._records)
--- a/rackpost/decide/gateway_groups.py
+++ b/rackpost/decide/gateway_groups.py
@@ -26,7 +26,7 @@
 _FEWEST = 6
 
 
-def count(gateways: int) -> int:
+def group_count(gateways: int) -> int:
     """How many groups so many gateways form."""
     if gateways <= _MOST_TOGETHER:
         return 1
@@ -34,7 +34,7 @@
 
 
 @functools.lru_cache(maxsize=16384)
-def of(name: str, groups: int) -> int:
+def group_of(name: str, groups: int) -> int:
     """The group of a gateway or an endpoint, from 0 on."""
     if groups <= 1:
         return 0
@@ -52,22 +52,22 @@
 
     def set_gateways(self, gateways: int) -> None:
         """So many gateways there are."""
-        self._groups = count(gateways)
+        self._groups = group_count(gateways)
 
     @property
-    def is_part(self) -> bool:
+    def is_partial(self) -> bool:
         """Whether there are others."""
         return self._groups > 1
 
-    def has(self, name: str) -> bool:
+    def contains(self, name: str) -> bool:
         """Whether a gateway or an endpoint is in it."""
-        return of(name, self._groups) == of(self._vm, self._groups)
+        return group_of(name, self._groups) == group_of(self._vm, self._groups)
 
-    def part(
+    def select(
         self, found: list[endpoints.Endpoint]
     ) -> list[endpoints.Endpoint]:
         """Its part of some endpoints; all where that would be too few."""
-        if not self.is_part:
+        if not self.is_partial:
             return found
-        mine = [item for item in found if self.has(item.id)]
+        mine = [item for item in found if self.contains(item.id)]
         return mine if len(mine) >= _FEWEST else found
--- a/rackpost/decide/kv_forecast.py
+++ b/rackpost/decide/kv_forecast.py
@@ -26,26 +26,26 @@
     """One request at a decode endpoint.
 
     Attributes:
-        size: tokens that it holds, its prompt included.
-        left: tokens that it is expected to make yet.
-        off: tokens by which that is usually wrong.
+        held_tokens: tokens that it holds, its prompt included.
+        remaining_tokens: tokens that it is expected to make yet.
+        error_tokens: tokens by which that is usually wrong.
     """
 
-    size: int
-    left: int
-    off: int = 0
+    held_tokens: int
+    remaining_tokens: int
+    error_tokens: int = 0
 
 
-def peak(runs: Iterable[Run]) -> int:
+def peak_tokens(runs: Iterable[Run]) -> int:
     """The most tokens that these runs are likely to hold at one time."""
-    by_end = sorted(runs, key=lambda run: run.left)
-    held = sum(run.size + _BLOCK_TOKENS for run in by_end)
+    by_end = sorted(runs, key=lambda run: run.remaining_tokens)
+    held = sum(run.held_tokens + _BLOCK_TOKENS for run in by_end)
     most = held
     for at, run in enumerate(by_end):
         going = len(by_end) - at
-        most = max(most, held + going * run.left)
-        held -= run.size + _BLOCK_TOKENS
-    off = math.sqrt(sum(run.off * run.off for run in by_end))
+        most = max(most, held + going * run.remaining_tokens)
+        held -= run.held_tokens + _BLOCK_TOKENS
+    off = math.sqrt(sum(run.error_tokens * run.error_tokens for run in by_end))
     return most + int(_CERTAINTY * off)
 
 
@@ -65,28 +65,34 @@
         *,
         prompt: int,
         guess: int,
-        most: int,
+        max_tokens: int,
         event_tokens: int,
         spread: float = 0.0,
     ) -> None:
         self._prompt = prompt
         self._guess = guess
-        self._most = most
+        self._most = max_tokens
         self._event_tokens = event_tokens
         self._spread = spread
-        self.made = 0
-        self.run = Run(size=prompt, left=guess, off=self._off(guess))
-
-    def event(self) -> None:
+        self.generated_tokens = 0
+        self.run = Run(
+            held_tokens=prompt,
+            remaining_tokens=guess,
+            error_tokens=self._off(guess),
+        )
+
+    def record_event(self) -> None:
         """An event has come from the endpoint."""
-        self.made += self._event_tokens
-        rest = max(0, self._most - self.made)
-        left = max(self._guess - self.made, int(self._PAST_GUESS * rest))
-        self.run.size = self._prompt + self.made
-        self.run.left = left
-        self.run.off = self._off(left)
+        self.generated_tokens += self._event_tokens
+        rest = max(0, self._most - self.generated_tokens)
+        left = max(
+            self._guess - self.generated_tokens, int(self._PAST_GUESS * rest)
+        )
+        self.run.held_tokens = self._prompt + self.generated_tokens
+        self.run.remaining_tokens = left
+        self.run.error_tokens = self._off(left)
 
     def _off(self, left: int) -> int:
         """By how much a guess is usually wrong; never beyond the most."""
-        longest = max(0, self._most - self.made - left)
+        longest = max(0, self._most - self.generated_tokens - left)
         return min(int(self._spread * left), longest)
--- a/rackpost/decide/plain_queue.py
+++ b/rackpost/decide/plain_queue.py
@@ -13,24 +13,24 @@
 from rackpost.decide import backoff
 
 
-def wait_s(
+def expected_wait_s(
     *,
     ahead: int,
     count: int,
     answer_s: float,
-    opens_s: float,
-    per_s: float | None,
+    available_in_s: float,
+    rate_per_s: float | None,
 ) -> float:
     """How long until one of those that wait is sent, in seconds.
 
     `ahead` of it wait here for `count` endpoints, which answer within
-    `answer_s`; the first opens in `opens_s`, all take `per_s` requests a
-    second from here, None where they name no rate.
+    `answer_s`; the first opens in `available_in_s`, all take `rate_per_s`
+    requests a second from here, None where they name no rate.
     """
-    found = opens_s
-    if per_s is not None:
-        found += ahead / per_s
-    if opens_s > 0.0:
+    found = available_in_s
+    if rate_per_s is not None:
+        found += ahead / rate_per_s
+    if available_in_s > 0.0:
         found += backoff.slow_start_s(ahead // max(1, count), answer_s)
     return found
 
@@ -39,7 +39,7 @@
     """Place in the order of those that wait; the least goes first."""
 
     priority: int
-    until: float
+    deadline: float
 
 
 class Waiter:
@@ -49,10 +49,10 @@
         self.rank = rank
         # When it looks for an endpoint.  Others may look before: it may have
         # tried those that they find.
-        self.looks_at = -math.inf
+        self.next_check_at = -math.inf
 
 
-class Line:
+class PlainQueue:
     """Those that wait at one gateway for a plain service, in order."""
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
         self._next_turn = 0.0
 
     @contextlib.contextmanager
-    def waiting(self, rank: Rank) -> Iterator[Waiter]:
+    def join(self, rank: Rank) -> Iterator[Waiter]:
         """Stand in the line until the block ends."""
         waiter = Waiter(rank=rank)
         self._waiters.append(waiter)
@@ -73,13 +73,15 @@
         """How many go before one of this rank."""
         return sum(item.rank < rank for item in self._waiters)
 
-    def may_look(self, rank: Rank, now: float) -> bool:
+    def may_check(self, rank: Rank, now: float) -> bool:
         """Whether it is its turn to look for an endpoint."""
         return all(
-            item.looks_at > now for item in self._waiters if item.rank < rank
+            item.next_check_at > now
+            for item in self._waiters
+            if item.rank < rank
         )
 
-    def turn_s(self, opens_s: float, per_s: float, now: float) -> float:
+    def retry_after_s(self, opens_s: float, per_s: float, now: float) -> float:
         """When one that is refused may come back, in seconds.
 
         After those that wait and those that were refused before it.
--- a/rackpost/decide/quarantine.py
+++ b/rackpost/decide/quarantine.py
@@ -6,7 +6,7 @@
 such end says little: a dozen others ran there, connections are reset, and
 processes end by themselves.  So a request is held back only
 
-* once `MOST_ENDED` lives ended under it, and
+* once `MIN_ENDED_TO_QUARANTINE` lives ended under it, and
 * unless other requests that are held back explain all but one of these, and
 * unless something cleared it: it was answered in full, an endpoint turned out
   to be alive, an operator says so.
@@ -27,7 +27,7 @@
 # Lives that may end under a request before it is held back.  Each takes some
 # twelve other runs with it; a caller that repeats once, at a gateway that
 # repeats once, meets more only if three endpoints end in one deadline.
-MOST_ENDED = 3
+MIN_ENDED_TO_QUARANTINE = 3
 # Of these, lives that no other request explains.  Two requests that end
 # endpoints may have met on one of them; whoever only ran beside one that is
 # held back shares all of its lives.
@@ -36,14 +36,14 @@
 # lives on.  Who has been told of two knows at once that the next is the third,
 # before it repeats the request itself; a loss of all power costs two endpoints
 # at most.  What broke once, by hundreds as many endpoints end, costs nothing.
-LEAST_TOLD = 2
+MIN_ENDED_TO_REPORT = 2
 # How long a request is held back after the last end under it, in seconds.  A
 # release may have mended it: one endpoint an hour is no storm.
-HOLD_S = 3600.0
+QUARANTINE_S = 3600.0
 # How long it is known, so that one more end holds it back again, in seconds.
-# What never was held back is forgotten after `HOLD_S`: who ran beside those
-# that end, a dozen each time, and one endpoint an hour is no storm.
-_KNOWN_S = 24 * HOLD_S
+# What never was held back is forgotten after `QUARANTINE_S`: who ran beside
+# those that end, a dozen each time, and one endpoint an hour is no storm.
+_KNOWN_S = 24 * QUARANTINE_S
 # Requests that are known: four times a thousand that end endpoints at once,
 # some 2 MB.  The least suspected go first.
 _MOST_KNOWN = 4096
@@ -69,17 +69,17 @@
     cleared: bool = False
 
     @property
-    def life(self) -> endpoints.Incarnation:
+    def incarnation(self) -> endpoints.Incarnation:
         """The life that ended."""
         return endpoints.Incarnation(self.endpoint, self.born)
 
 
-class Held(NamedTuple):
-    """A request that is held back, for `left_s` seconds more."""
+class QuarantinedRequest(NamedTuple):
+    """A request that is held back, for `remaining_s` seconds more."""
 
     request: types.Fingerprint
-    lives: tuple[endpoints.Incarnation, ...]
-    left_s: float
+    incarnations: tuple[endpoints.Incarnation, ...]
+    remaining_s: float
 
 
 @dataclasses.dataclass
@@ -98,12 +98,12 @@
 
     def take(self, new: Suspicion, now: float) -> bool:
         """Take a suspicion; whether it changed anything."""
-        old = self.suspicions.get(new.life)
+        old = self.suspicions.get(new.incarnation)
         if old is not None and (old.cleared or not new.cleared):
             return False
         if old is None and not new.cleared:
             self.at = now
-        self.suspicions[new.life] = new
+        self.suspicions[new.incarnation] = new
         while len(self.suspicions) > _MOST_LIVES:
             del self.suspicions[next(iter(self.suspicions))]
         return True
@@ -134,7 +134,7 @@
         """How many requests are known."""
         return len(self._records)
 
-    def take(
+    def add(
         self, items: Iterable[Suspicion], now: float
     ) -> set[types.Fingerprint]:
         """Take suspicions; the requests of which something was news."""
@@ -152,7 +152,7 @@
         return changed
 
     def _recount(self, request: types.Fingerprint) -> None:
-        has_many = len(self._records[request].open) >= MOST_ENDED
+        has_many = len(self._records[request].open) >= MIN_ENDED_TO_QUARANTINE
         if has_many or request in self._many:
             self._judged = False
         if has_many:
@@ -182,7 +182,9 @@
             for request in sorted(
                 self._many, key=lambda one: (self._records[one].order, one)
             ):
-                lives = {one.life for one in self._records[request].open}
+                lives = {
+                    one.incarnation for one in self._records[request].open
+                }
                 if len(lives - explained) >= _LEAST_OWN:
                     guilty.add(request)
                     explained |= lives
@@ -190,53 +192,59 @@
             self._judged = True
         return self._guilty
 
-    def holds_any(self) -> bool:
+    def may_hold_any(self) -> bool:
         """Whether anything may be held back at all."""
         return bool(self._many)
 
-    def left_s(self, request: types.Fingerprint, now: float) -> float:
+    def remaining_s(self, request: types.Fingerprint, now: float) -> float:
         """How much longer a request is held back, in seconds; 0 if not."""
         if request not in self._many or request not in self._judge():
             return 0.0
-        return max(0.0, self._records[request].at + HOLD_S - now)
+        return max(0.0, self._records[request].at + QUARANTINE_S - now)
 
-    def is_held(self, request: types.Fingerprint, now: float) -> bool:
+    def is_quarantined(self, request: types.Fingerprint, now: float) -> bool:
         """Whether a request is held back."""
-        return self.left_s(request, now) > 0.0
+        return self.remaining_s(request, now) > 0.0
 
-    def held(self, now: float) -> list[Held]:
+    def quarantined(self, now: float) -> list[QuarantinedRequest]:
         """All that are held back, the newest last."""
         found = [
-            Held(
+            QuarantinedRequest(
                 request=request,
-                lives=tuple(one.life for one in self._records[request].open),
-                left_s=self.left_s(request, now),
+                incarnations=tuple(
+                    one.incarnation for one in self._records[request].open
+                ),
+                remaining_s=self.remaining_s(request, now),
             )
             for request in self._judge()
         ]
-        found = [item for item in found if item.left_s > 0.0]
-        return sorted(found, key=lambda item: item.left_s)
+        found = [item for item in found if item.remaining_s > 0.0]
+        return sorted(found, key=lambda item: item.remaining_s)
 
-    def of(self, request: types.Fingerprint) -> tuple[Suspicion, ...]:
+    def suspicions_of(
+        self, request: types.Fingerprint
+    ) -> tuple[Suspicion, ...]:
         """All that is known of a request."""
         record = self._records.get(request)
         return () if record is None else tuple(record.suspicions.values())
 
-    def ended(self, request: types.Fingerprint) -> list[types.EndpointId]:
+    def ended_endpoints(
+        self, request: types.Fingerprint
+    ) -> list[types.EndpointId]:
         """The endpoints whose lives count against a request."""
         record = self._records.get(request)
         return [] if record is None else [one.endpoint for one in record.open]
 
-    def known(self, least: int) -> tuple[Suspicion, ...]:
+    def suspicions(self, min_ended: int) -> tuple[Suspicion, ...]:
         """All of the requests against which at least so many lives count."""
         return tuple(
             item
             for record in self._records.values()
-            if len(record.open) >= least
+            if len(record.open) >= min_ended
             for item in record.suspicions.values()
         )
 
-    def cleared(self, request: types.Fingerprint) -> tuple[Suspicion, ...]:
+    def clearances(self, request: types.Fingerprint) -> tuple[Suspicion, ...]:
         """What clears a request of all that counts against it; to take."""
         record = self._records.get(request)
         if record is None:
@@ -248,6 +256,6 @@
     def forget(self, now: float) -> None:
         """Forget requests under which nothing has ended for long."""
         for request, record in list(self._records.items()):
-            known_s = _KNOWN_S if request in self._many else HOLD_S
+            known_s = _KNOWN_S if request in self._many else QUARANTINE_S
             if now - record.at > known_s:
                 self._drop(request)
--- a/rackpost/decide/queue_order.py
+++ b/rackpost/decide/queue_order.py
@@ -26,38 +26,40 @@
     at: float
 
 
-class Claim(msgspec.Struct, frozen=True, kw_only=True):
+class WaitingRequest(msgspec.Struct, frozen=True, kw_only=True):
     """A request that needs room.
 
     Attributes:
         priority: 0 goes first.
         target: clock reading by which its first token is in time.
         start_by: clock reading at which its client leaves without one.
-        until: clock reading at which its client's time is up.
+        deadline: clock reading at which its client's time is up.
         start_s: from a place to the first token, as expected.
         run_s: from a place to its end, as expected.
-        came_back: it was refused before; another refusal is its last.
-        stops: its gateway is being stopped, and would cut it at `until`.
+        refused_before: it was refused before; another refusal is its last.
+        gateway_stopping: its gateway is being stopped, and would cut it at
+        `deadline`.
     """
 
     priority: int
     target: float
     start_by: float
-    until: float
+    deadline: float
     start_s: float
     run_s: float
-    came_back: bool = False
-    stops: bool = False
+    refused_before: bool = False
+    gateway_stopping: bool = False
 
 
-def is_hopeless(claim: Claim, now: float) -> bool:
+def is_infeasible(claim: WaitingRequest, now: float) -> bool:
     """Whether it can't begin or can't end within its time any more."""
     return (
-        now + claim.start_s > claim.start_by or now + claim.run_s > claim.until
+        now + claim.start_s > claim.start_by
+        or now + claim.run_s > claim.deadline
     )
 
 
-def order(claim: Claim, now: float) -> Rank:
+def rank_of(claim: WaitingRequest, now: float) -> Rank:
     """Sort key: the least goes first.
 
     What can still be in time goes before what is late already and loses
@@ -68,7 +70,9 @@
     return Rank(late, claim.priority, at)
 
 
-class Left(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class WaitingSummary(
+    msgspec.Struct, frozen=True, array_like=True, kw_only=True
+):
     """What a request that waits has left, as other gateways are told it.
 
     Times that are left need no common clock.
@@ -83,13 +87,13 @@
     start_s: float
 
     def rank(self, age_s: float) -> Rank:
-        """`order`, some time after it was told."""
+        """`rank_of`, some time after it was told."""
         late = self.slack_s < age_s
         at = self.start_s if late else self.slack_s
         return Rank(late, self.priority, at - age_s)
 
 
-def goes_before(
+def is_ahead(
     other: Rank,
     other_name: str,
     mine: Rank,
@@ -102,9 +106,9 @@
     return other < mine
 
 
-def left(claim: Claim, now: float) -> Left:
+def summarize(claim: WaitingRequest, now: float) -> WaitingSummary:
     """What a request has left."""
-    return Left(
+    return WaitingSummary(
         priority=claim.priority,
         slack_s=round(claim.target - claim.start_s - now, 3),
         start_s=round(claim.start_by - now, 3),
@@ -124,23 +128,25 @@
     return (ahead + 1) * run_s / running
 
 
-def is_known_hopeless(claim: Claim, wait_s: float, now: float) -> bool:
+def will_be_infeasible(
+    claim: WaitingRequest, wait_s: float, now: float
+) -> bool:
     """Whether it would still wait when it can't begin or end any more.
 
     One that would only be late waits: its client gets an answer by it,
     and none by a refusal.
     """
-    return is_hopeless(claim, now + wait_s)
+    return is_infeasible(claim, now + wait_s)
 
 
-def come_back_s(
-    claim: Claim, wait_s: float, now: float, chance: float
+def retry_after_s(
+    claim: WaitingRequest, wait_s: float, now: float, jitter: float
 ) -> float:
-    """When to come back, in seconds; `chance` is from 0 to 1.
+    """When to come back, in seconds; `jitter` is from 0 to 1.
 
     Clients heed up to a third of the time that they have left.
     """
-    later = wait_s * (1.0 + _SPREAD * chance) + 0.3 * chance
+    later = wait_s * (1.0 + _SPREAD * jitter) + 0.3 * jitter
     # What ends now can still come back at once, to somebody else.
-    heeded = max(0.0, (claim.until - now) / 3.0)
+    heeded = max(0.0, (claim.deadline - now) / 3.0)
     return min(max(_SOONEST_S, later), heeded)
--- a/rackpost/decide/quota.py
+++ b/rackpost/decide/quota.py
@@ -22,7 +22,7 @@
 _OVERSHOOT_USED = 0.9
 
 
-class Terms(msgspec.Struct, frozen=True, kw_only=True):
+class QuotaSettings(msgspec.Struct, frozen=True, kw_only=True):
     """How a site counts quotas.
 
     Attributes:
@@ -54,34 +54,34 @@
         return (1.0 - _SLACK_USED) * self.slack
 
 
-class Refused(NamedTuple):
+class OverQuota(NamedTuple):
     """Over the limit; there is room after so long, in seconds."""
 
-    room_s: float
+    retry_after_s: float
     used: float
     bound: float
 
 
-def units(quota: model.Quota, tokens: int | None) -> int:
+def request_units(quota: model.Quota, tokens: int | None) -> int:
     """What a request counts; `tokens` are all that it names, if it does."""
     if quota.by_tokens and tokens is not None:
         return tokens
     return quota.plain_units
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class QuotaReport(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """What a gateway tells others of what its clients have spent.
 
     Attributes:
-        up_s: how long it has run, in seconds.
-        whole: everything is told, not only what has changed.
+        uptime_s: how long it has run, in seconds.
+        is_complete: everything is told, not only what has changed.
         spent: units since its start, by organisation.
         waiting: units that are admitted and not sent yet.
         levels: what is left where it is not all, when everything is told.
     """
 
-    up_s: int = 0
-    whole: bool = False
+    uptime_s: int = 0
+    is_complete: bool = False
     spent: dict[types.OrganisationName, int] = {}
     waiting: dict[types.OrganisationName, int] = {}
     levels: dict[types.OrganisationName, int] = {}
@@ -95,7 +95,7 @@
     """Decides on what organisations ask for at one gateway."""
 
     def __init__(
-        self, *, terms: Terms, began: float, limit_of: LimitOf
+        self, *, terms: QuotaSettings, began: float, limit_of: LimitOf
     ) -> None:
         """`began` is the clock reading at which this gateway started."""
         self.terms = terms
@@ -106,7 +106,7 @@
     @abc.abstractmethod
     def check(
         self, item: model.Organisation, wanted: int, now: float
-    ) -> Refused | None:
+    ) -> OverQuota | None:
         """None where a request of so many units may pass."""
 
     @abc.abstractmethod
@@ -116,13 +116,13 @@
         """A request is admitted here, and waits to be sent."""
 
     @abc.abstractmethod
-    def sent(
+    def record_sent(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
         """One that was admitted is sent to an endpoint."""
 
     @abc.abstractmethod
-    def not_run(
+    def record_not_run(
         self, name: types.OrganisationName, units: int, at: float, now: float
     ) -> None:
         """What was sent at a reading has not run: it waits again."""
@@ -133,18 +133,23 @@
     ) -> None:
         """One that waits is not sent any more."""
 
-    def take(
-        self, sender: types.VmId, life: int, told: Told, now: float
+    def receive(
+        self,
+        sender: types.VmId,
+        incarnation: int,
+        report: QuotaReport,
+        now: float,
     ) -> bool:
         """Take another gateway's word; whether it has just begun to tell.
 
-        `life` differs after a restart.  A newcomer is told everything next.
+        `incarnation` differs after a restart.  A newcomer is told everything
+        next.
         """
         return False
 
-    def tell(self, now: float) -> Told:
+    def next_report(self, now: float) -> QuotaReport:
         """What others should know."""
-        return Told()
+        return QuotaReport()
 
     def forget(self, now: float) -> None:
         """Drop what has left the window."""
--- a/rackpost/decide/quota_buckets.py
+++ b/rackpost/decide/quota_buckets.py
@@ -59,7 +59,11 @@
     """
 
     def __init__(
-        self, *, terms: quota.Terms, began: float, limit_of: quota.LimitOf
+        self,
+        *,
+        terms: quota.QuotaSettings,
+        began: float,
+        limit_of: quota.LimitOf,
     ) -> None:
         super().__init__(terms=terms, began=began, limit_of=limit_of)
         self._heard: dict[types.VmId, _Heard] = {}
@@ -76,12 +80,12 @@
         # Whether what was admitted before the start counts no more.
         self._is_settled = False
 
-    def size(self, limit: model.Quota) -> float:
+    def bucket_size(self, limit: model.Quota) -> float:
         """What a full bucket holds."""
         filled = limit.rate_per_s * self.terms.window_s
         return self.terms.bound(limit) - filled
 
-    def heard(self, now: float) -> int:
+    def reachable_gateways(self, now: float) -> int:
         """How many gateways are heard, this one included."""
         return 1 + sum(
             now - item.at <= _SILENT_S for item in self._heard.values()
@@ -89,7 +93,7 @@
 
     def _share(self, now: float) -> float:
         """The part of all gateways that are heard."""
-        return min(1.0, self.heard(now) / self.gateways)
+        return min(1.0, self.reachable_gateways(now) / self.gateways)
 
     def _level(self, name: types.OrganisationName, now: float) -> float:
         """What a bucket holds now; it may be below 0."""
@@ -101,7 +105,7 @@
         share = self._share(now)
         units = known.units
         units += limit.rate_per_s * share * max(0.0, now - known.at)
-        units = min(units, self.size(limit))
+        units = min(units, self.bucket_size(limit))
         self._levels[name] = _Level(units, now)
         return units
 
@@ -115,7 +119,7 @@
         for name, known in self._levels.items():
             limit = self.limit_of(name)
             if limit is not None:
-                units = known.units + self.size(limit)
+                units = known.units + self.bucket_size(limit)
                 self._levels[name] = _Level(units, known.at)
 
     def _first(self, limit: model.Quota) -> _Level:
@@ -126,7 +130,7 @@
         """
         if self._is_settled or self._learned_s > 0.0:
             # Nothing is known of it that is not full.
-            return _Level(self.size(limit), self.began)
+            return _Level(self.bucket_size(limit), self.began)
         return _Level(_FORGOTTEN_PART * self.terms.reserve, self.began)
 
     def _draw(
@@ -141,7 +145,7 @@
         """A request is admitted here, and waits to be sent."""
         self._waiting[name] += units
 
-    def sent(
+    def record_sent(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
         """One that was admitted is sent to an endpoint."""
@@ -149,7 +153,7 @@
         self._totals[name] += units
         self._draw(name, units, now)
 
-    def not_run(
+    def record_not_run(
         self, name: types.OrganisationName, units: int, at: float, now: float
     ) -> None:
         """What was sent at a reading has not run: it waits again."""
@@ -171,30 +175,36 @@
                 taken += heard.waiting.get(name, 0)
         return self._level(name, now) - taken
 
-    def take(
-        self, sender: types.VmId, life: int, told: quota.Told, now: float
+    def receive(
+        self,
+        sender: types.VmId,
+        incarnation: int,
+        report: quota.QuotaReport,
+        now: float,
     ) -> bool:
         """Take another gateway's word; whether it has just begun to tell."""
         heard = self._heard.get(sender)
-        is_new = heard is None or heard.life != life
+        is_new = heard is None or heard.life != incarnation
         if heard is None or is_new:
-            heard = self._heard[sender] = _Heard(life=life)
+            heard = self._heard[sender] = _Heard(life=incarnation)
             # All that it has admitted is fresh, if it is itself.
-            heard.counts = told.up_s < self.terms.window_s
+            heard.counts = report.uptime_s < self.terms.window_s
             self._whole_at = now - _WHOLE_S
         elif now - heard.at > _APART_S:
             heard.counts = False
         heard.at = now
-        heard.waiting = told.waiting
+        heard.waiting = report.waiting
         if heard.counts:
-            self._take_spent(heard, told, now)
-        elif told.whole:
-            self._take_levels(told, now)
-            heard.totals = dict(told.spent)
+            self._take_spent(heard, report, now)
+        elif report.is_complete:
+            self._take_levels(report, now)
+            heard.totals = dict(report.spent)
             heard.counts = True
         return is_new
 
-    def _take_spent(self, heard: _Heard, told: quota.Told, now: float) -> None:
+    def _take_spent(
+        self, heard: _Heard, told: quota.QuotaReport, now: float
+    ) -> None:
         """Draw what it has admitted since its last word."""
         for name, total in told.spent.items():
             more = total - heard.totals.get(name, 0)
@@ -202,22 +212,22 @@
             if more:
                 self._draw(name, more, now)
 
-    def _take_levels(self, told: quota.Told, now: float) -> None:
+    def _take_levels(self, told: quota.QuotaReport, now: float) -> None:
         """Its buckets' levels, of one that was not heard for a while.
 
         What both have admitted meanwhile is not in one's own: the lower
         one holds, but for one's own that rest on nothing.
         """
         up_s = now - self.began
-        knows_more = up_s < self.terms.window_s and told.up_s > up_s + 1.0
-        if knows_more and told.up_s > self._learned_s:
-            self._learned_s = told.up_s
+        knows_more = up_s < self.terms.window_s and told.uptime_s > up_s + 1.0
+        if knows_more and told.uptime_s > self._learned_s:
+            self._learned_s = told.uptime_s
             self._levels.clear()
         for name, units in told.levels.items():
             known = self._level(name, now)
             self._levels[name] = _Level(min(units, known), now)
 
-    def tell(self, now: float) -> quota.Told:
+    def next_report(self, now: float) -> quota.QuotaReport:
         """What others should know: all, or what has changed since."""
         whole = now >= self._whole_at + _WHOLE_S
         if whole:
@@ -230,9 +240,9 @@
                 if value != self._told.get(name, 0)
             }
         self._told = dict(self._totals)
-        return quota.Told(
-            up_s=int(now - self.began),
-            whole=whole,
+        return quota.QuotaReport(
+            uptime_s=int(now - self.began),
+            is_complete=whole,
             spent=spent,
             levels=self._below_full(now) if whole else {},
             waiting={k: units for k, units in self._waiting.items() if units},
@@ -257,21 +267,21 @@
                 del self._levels[name]
                 continue
             units = self._level(name, now)
-            if units < self.size(limit):
+            if units < self.bucket_size(limit):
                 found[name] = int(units)
         return found
 
     def check(
         self, item: model.Organisation, wanted: int, now: float
-    ) -> quota.Refused | None:
+    ) -> quota.OverQuota | None:
         """None where a request of so many units may pass."""
         limit = item.quota
         if limit is None:
             return None
-        size = self.size(limit)
+        size = self.bucket_size(limit)
         if wanted > self.terms.bound(limit):
             # More than any window may hold, whenever it comes.
-            return quota.Refused(self.terms.window_s, wanted, size)
+            return quota.OverQuota(self.terms.window_s, wanted, size)
         share = self._share(now)
         # What those hold that are not heard is theirs.
         level = self._free(item.name, now) - size * (1.0 - share)
@@ -280,8 +290,8 @@
         if level >= needed:
             return None
         room_s = (needed - level) / (limit.rate_per_s * share)
-        return quota.Refused(
-            room_s=min(room_s, self.terms.window_s),
+        return quota.OverQuota(
+            retry_after_s=min(room_s, self.terms.window_s),
             used=size - level,
             bound=size,
         )
--- a/rackpost/decide/quota_use.py
+++ b/rackpost/decide/quota_use.py
@@ -12,13 +12,13 @@
 # Organisations that are told one by one; the rest are told together, so
 # that it costs the same whatever their number is.
 _MOST_TOLD = 20
-REST = types.OrganisationName("(others)")
+OTHERS = types.OrganisationName("(others)")
 
 
-class Use(NamedTuple):
+class QuotaUse(NamedTuple):
     """What an organisation did within the window.
 
-    `units` were admitted, `refused` requests were over its quota.
+    `units` were admitted, `record_refused` requests were over its quota.
     """
 
     organisation: types.OrganisationName
@@ -35,35 +35,35 @@
     refused: int
 
 
-class UseBook:
+class QuotaUseTracker:
     """Requests of the last window, by organisation."""
 
     def __init__(self, *, window_s: float) -> None:
         self._window_s = window_s
         self._events: collections.deque[_Event] = collections.deque()
 
-    def admitted(
+    def record_admitted(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
         """A request may pass."""
         self._events.append(_Event(now, name, units, 0))
 
-    def refused(self, name: types.OrganisationName, now: float) -> None:
+    def record_refused(self, name: types.OrganisationName, now: float) -> None:
         """A request was over the quota."""
         self._events.append(_Event(now, name, 0, 1))
 
-    def recent(self, now: float) -> tuple[Use, ...]:
+    def recent(self, now: float) -> tuple[QuotaUse, ...]:
         """The organisations that used most, and the rest together."""
         before = now - self._window_s
         while self._events and self._events[0].at <= before:
             self._events.popleft()
         return largest(
-            Use(item.organisation, item.units, item.refused)
+            QuotaUse(item.organisation, item.units, item.refused)
             for item in self._events
         )
 
 
-def largest(uses: Iterable[Use]) -> tuple[Use, ...]:
+def largest(uses: Iterable[QuotaUse]) -> tuple[QuotaUse, ...]:
     """Uses added up by organisation, the largest first."""
     units: collections.Counter[types.OrganisationName]
     units = collections.Counter()
@@ -72,13 +72,13 @@
     for item in uses:
         units[item.organisation] += item.units
         refused[item.organisation] += item.refused
-    found = [Use(name, units[name], refused[name]) for name in units]
-    found.sort(key=lambda item: (item.organisation == REST, -item.units))
+    found = [QuotaUse(name, units[name], refused[name]) for name in units]
+    found.sort(key=lambda item: (item.organisation == OTHERS, -item.units))
     rest = found[_MOST_TOLD:]
     if not rest:
         return tuple(found)
-    others = Use(
-        REST,
+    others = QuotaUse(
+        OTHERS,
         sum(item.units for item in rest),
         sum(item.refused for item in rest),
     )
--- a/rackpost/decide/rate_gate.py
+++ b/rackpost/decide/rate_gate.py
@@ -37,14 +37,14 @@
 class RateGate:
     """What one gateway knows of others' grants."""
 
-    def __init__(self, *, book: endpoint_rates.RateBook) -> None:
-        self._book = book
+    def __init__(self, *, rates: endpoint_rates.RateTable) -> None:
+        self._book = rates
         self._records: dict[endpoints.Incarnation, _Record] = {}
 
     def _record(self, endpoint: endpoints.Endpoint) -> _Record:
         return self._records.setdefault(endpoint.incarnation, _Record())
 
-    def may_begin(self, endpoint: endpoints.Endpoint, now: float) -> bool:
+    def may_select(self, endpoint: endpoints.Endpoint, now: float) -> bool:
         """Whether a request may be meant for an endpoint now."""
         if self._book.per_s(endpoint) is None:
             return True
@@ -53,14 +53,14 @@
             return True
         return now >= record.opens and now >= record.asking_until
 
-    def opens_at(self, endpoint: endpoints.Endpoint) -> float:
+    def available_at(self, endpoint: endpoints.Endpoint) -> float:
         """Clock reading at which a grant may be asked for again."""
         if self._book.per_s(endpoint) is None:
             return 0.0
         record = self._records.get(endpoint.incarnation)
         return 0.0 if record is None else record.opens
 
-    def own_per_s(self, endpoint: endpoints.Endpoint) -> float | None:
+    def own_rate_per_s(self, endpoint: endpoints.Endpoint) -> float | None:
         """The part of its rate that is this gateway's, as far as is known.
 
         In requests a second; None where it names no rate.
@@ -72,15 +72,17 @@
         contenders = 1 if record is None else record.contenders
         return rate_grants.usable_per_s(per_s) / max(1, contenders)
 
-    def chose(self, endpoint: endpoints.Endpoint, now: float) -> None:
+    def record_selection(
+        self, endpoint: endpoints.Endpoint, now: float
+    ) -> None:
         """A request is meant for it, and asks for a grant soon."""
         if self._book.per_s(endpoint) is not None:
             self._record(endpoint).asking_until = now + _ASKS_WITHIN_S
 
-    def answered(
+    def record_decision(
         self,
         endpoint: endpoints.Endpoint,
-        verdict: rate_grants.Verdict,
+        verdict: rate_grants.GrantDecision,
         now: float,
     ) -> None:
         """Its owner has answered."""
@@ -90,7 +92,9 @@
         if not verdict.granted:
             record.opens = now + max(verdict.wait_s, _SOONEST_S)
 
-    def unanswered(self, endpoint: endpoints.Endpoint, now: float) -> None:
+    def record_no_answer(
+        self, endpoint: endpoints.Endpoint, now: float
+    ) -> None:
         """Its owner does not answer."""
         record = self._record(endpoint)
         record.asking_until = 0.0
@@ -98,7 +102,7 @@
 
     def forget(self) -> None:
         """Forget lives of endpoints that name no rate any more."""
-        known = self._book.known
+        known = self._book.incarnations
         for key in list(self._records):
             if key not in known:
                 del self._records[key]
--- a/rackpost/decide/rate_grants.py
+++ b/rackpost/decide/rate_grants.py
@@ -22,7 +22,7 @@
 
 # Requests that still go to an endpoint that takes fewer or none, a second:
 # its answers are how anybody hears that it takes more again.
-LEAST_PER_S = 0.25
+MIN_RATE_PER_S = 0.25
 # What is not asked for is kept for this long, in seconds of the rate, and one
 # request besides.
 _KEPT_S = 0.25
@@ -36,7 +36,7 @@
 
 def usable_per_s(per_s: float) -> float:
     """Requests a second that may go to an endpoint that names a rate."""
-    return max(per_s, LEAST_PER_S)
+    return max(per_s, MIN_RATE_PER_S)
 
 
 def owner(
@@ -46,20 +46,24 @@
     return max(gateways, key=lambda vm: rendezvous.rank(vm, endpoint))
 
 
-class Wish(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class GrantApplicant(
+    msgspec.Struct, frozen=True, array_like=True, kw_only=True
+):
     """What a gateway asks for: to send one request.
 
     Attributes:
         priority: of the request, 0 goes first.
-        waits: whether it waits, since no other endpoint is left for it.
+        is_waiting: whether it waits, since no other endpoint is left for it.
     """
 
     vm: types.VmId
     priority: int
-    waits: bool = False
+    is_waiting: bool = False
 
 
-class Verdict(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class GrantDecision(
+    msgspec.Struct, frozen=True, array_like=True, kw_only=True
+):
     """What the owner answers.
 
     Attributes:
@@ -104,23 +108,27 @@
     def _most(self) -> float:
         return 1.0 + _KEPT_S * self._per_s
 
-    def decide(self, wish: Wish, now: float, rng: random.Random) -> Verdict:
+    def decide(
+        self, wish: GrantApplicant, now: float, rng: random.Random
+    ) -> GrantDecision:
         """Grant one request, or tell when to ask again."""
         self._forget(now)
         self._turned_away.pop(wish.vm, None)
         kept = 1.0 + self._more_urgent(wish)
         if self._level >= kept:
             self._level -= 1.0
-            return Verdict(granted=True, contenders=self._waiting + 1)
+            return GrantDecision(granted=True, contenders=self._waiting + 1)
         wait_s = (kept - self._level) / self._per_s
         wait_s += self._spread_s(wish) * rng.random()
         self._turned_away[wish.vm] = _TurnedAway(
             priority=wish.priority,
-            waits=wish.waits,
+            waits=wish.is_waiting,
             until=now + wait_s + _GRACE_S,
         )
         contenders = max(1, self._waiting)
-        return Verdict(granted=False, wait_s=wait_s, contenders=contenders)
+        return GrantDecision(
+            granted=False, wait_s=wait_s, contenders=contenders
+        )
 
     def give_back(self) -> None:
         """A request that was granted has not been sent."""
@@ -137,14 +145,14 @@
             if item.until < now:
                 del self._turned_away[vm]
 
-    def _more_urgent(self, wish: Wish) -> int:
+    def _more_urgent(self, wish: GrantApplicant) -> int:
         """How many wait for which something is kept."""
         return sum(
             item.waits and item.priority < wish.priority
             for item in self._turned_away.values()
         )
 
-    def _spread_s(self, wish: Wish) -> float:
+    def _spread_s(self, wish: GrantApplicant) -> float:
         """Within how long those that are as urgent are to come back."""
         alike = sum(
             item.priority <= wish.priority
@@ -153,23 +161,23 @@
         return min(alike / self._per_s, _MOST_SPREAD_S)
 
 
-class GrantBook:
+class GrantLedger:
     """Grants of one gateway for the endpoints whose rates it owns."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
         self._buckets: dict[endpoints.Incarnation, _Bucket] = {}
 
-    def ask(
+    def decide(
         self,
         key: endpoints.Incarnation,
-        wish: Wish,
+        wish: GrantApplicant,
         *,
         per_s: float,
         since: float,
         share: float,
         now: float,
-    ) -> Verdict:
+    ) -> GrantDecision:
         """Whether a gateway may send one request to an endpoint.
 
         `per_s` is the rate that the endpoint names, `since` when it was first
@@ -182,7 +190,7 @@
         bucket.fill(usable_per_s(per_s) * share, now)
         return bucket.decide(wish, now, self._rng)
 
-    def give_back(self, key: endpoints.Incarnation) -> None:
+    def release(self, key: endpoints.Incarnation) -> None:
         """A request that was granted has not been sent."""
         bucket = self._buckets.get(key)
         if bucket is not None:
--- a/rackpost/decide/recent_refusals.py
+++ b/rackpost/decide/recent_refusals.py
@@ -15,7 +15,7 @@
 _MOST = 64
 
 
-class RefusedBook:
+class RefusalTable:
     """Prompts that were refused, here and at other gateways."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self._own[key] = now
         _trim(self._own, now)
 
-    def take(self, keys: tuple[int, ...], now: float) -> None:
+    def receive(self, keys: tuple[int, ...], now: float) -> None:
         """Another gateway has refused these lately.
 
         It tells each of them many times; the first time counts.
@@ -43,7 +43,7 @@
         for key in keys:
             self._told.setdefault(key, now)
 
-    def came_back(self, key: int, now: float) -> bool:
+    def was_refused(self, key: int, now: float) -> bool:
         """Whether a request was refused before."""
         at = max(self._own.get(key, -_KEEP_S), self._told.get(key, -_KEEP_S))
         return now - at < _KEEP_S
--- a/rackpost/decide/retry_budget.py
+++ b/rackpost/decide/retry_budget.py
@@ -22,22 +22,22 @@
         self._requests: collections.deque[float] = collections.deque()
         self._repeats: collections.deque[float] = collections.deque()
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """A client's request for the service has come."""
         self._requests.append(now)
 
     def allows(self, now: float, gateways: int) -> bool:
         """Whether one more repeat may be sent."""
-        return self.left(now, gateways) >= 1.0
+        return self.remaining(now, gateways) >= 1.0
 
-    def left(self, now: float, gateways: int) -> float:
+    def remaining(self, now: float, gateways: int) -> float:
         """Repeats that may still be sent now."""
         self._trim(now)
         slack = self._slack / max(1, gateways)
         allowed = _USED * (self._ratio * len(self._requests) + slack)
         return allowed - len(self._repeats)
 
-    def repeat(self, now: float) -> None:
+    def record_retry(self, now: float) -> None:
         """A repeat is sent."""
         self._repeats.append(now)
 
--- a/rackpost/decide/retry_decision.py
+++ b/rackpost/decide/retry_decision.py
@@ -8,7 +8,7 @@
 MIN_TIME_S = 0.03
 
 
-class Ended(enum.Enum):
+class AttemptEnd(enum.Enum):
     """How an attempt ended."""
 
     NOT_SENT = "not-sent"
@@ -17,13 +17,13 @@
     FAILED = "failed"
 
 
-class Next(enum.Enum):
+class NextStep(enum.Enum):
     """What to do next."""
 
-    AGAIN = "again"
+    RETRY = "again"
     REFUSE = "refuse"
     FAIL = "fail"
-    PASS = "pass"
+    PASS_ON = "pass"
 
 
 class Situation(msgspec.Struct, frozen=True, kw_only=True):
@@ -33,38 +33,40 @@
         repeatable: the request may run more than once.
         may_have_run: an earlier attempt may have run.
         attempts_left: endpoints that may still run it.
-        budget: the retry budget allows one more arrival.
+        budget_allows: the retry budget allows one more arrival.
         time_left_s: until the request's time is up.
     """
 
     repeatable: bool
     may_have_run: bool
     attempts_left: int
-    budget: bool
+    budget_allows: bool
     time_left_s: float
 
 
-def after(ended: Ended, now: Situation) -> Next:
+def next_step(ended: AttemptEnd, now: Situation) -> NextStep:
     """The next step after an attempt that ended in a certain way."""
-    if ended is Ended.NOT_SENT:
+    if ended is AttemptEnd.NOT_SENT:
         # Nothing arrived anywhere: neither an attempt nor a repeat.
         if now.time_left_s > MIN_TIME_S:
-            return Next.AGAIN
+            return NextStep.RETRY
         return _give_up(now)
-    if ended is Ended.NOT_RUN:
+    if ended is AttemptEnd.NOT_RUN:
         if _may_go_on(now) and (now.repeatable or not now.may_have_run):
-            return Next.AGAIN
+            return NextStep.RETRY
         return _give_up(now)
     if now.repeatable and _may_go_on(now):
-        return Next.AGAIN
-    return Next.PASS if ended is Ended.FAILED else Next.FAIL
+        return NextStep.RETRY
+    return NextStep.PASS_ON if ended is AttemptEnd.FAILED else NextStep.FAIL
 
 
 def _may_go_on(now: Situation) -> bool:
     return (
-        now.attempts_left > 0 and now.budget and now.time_left_s > MIN_TIME_S
+        now.attempts_left > 0
+        and now.budget_allows
+        and now.time_left_s > MIN_TIME_S
     )
 
 
-def _give_up(now: Situation) -> Next:
-    return Next.FAIL if now.may_have_run else Next.REFUSE
+def _give_up(now: Situation) -> NextStep:
+    return NextStep.FAIL if now.may_have_run else NextStep.REFUSE
--- a/rackpost/decide/role_balance.py
+++ b/rackpost/decide/role_balance.py
@@ -48,14 +48,14 @@
     """Work for a model service, in endpoints that it would keep busy.
 
     With `is_known` False the one who tells it has not seen enough to say.
-    `asked` is the requests a second that it rests on.
+    `requests_per_s` is the requests a second that it rests on.
     """
 
     service: types.ServiceName
     prefill: float
     decode: float
     is_known: bool = True
-    asked: float = 0.0
+    requests_per_s: float = 0.0
 
 
 class Pools(msgspec.Struct, frozen=True, kw_only=True):
@@ -89,11 +89,11 @@
         """A request takes `share` of an endpoint for `out` tokens."""
         self._items.append(_Asked(at=now, prompt=prompt, made=share * out))
 
-    def rate(
+    def demand(
         self,
         service: types.ServiceName,
         now: float,
-        pace: token_timing_mod.Pace,
+        pace: token_timing_mod.TokenTiming,
     ) -> Demand:
         """The demand over the last seconds, at the present pace.
 
@@ -110,10 +110,10 @@
         seen = pace.is_known and counted_s >= _WINDOW_S / 2
         return Demand(
             service=service,
-            prefill=pace.expected_s(prompts) / counted_s,
-            decode=pace.making_s(made) / counted_s,
+            prefill=pace.prefill_s(prompts) / counted_s,
+            decode=pace.decode_s(made) / counted_s,
             is_known=seen or not self._items,
-            asked=len(self._items) / counted_s,
+            requests_per_s=len(self._items) / counted_s,
         )
 
 
@@ -124,8 +124,8 @@
     requests: of many gateways one has always just had its first.
     """
     known = [item for item in told if item.is_known]
-    asked = sum(item.asked for item in told)
-    asked_known = sum(item.asked for item in known)
+    asked = sum(item.requests_per_s for item in told)
+    asked_known = sum(item.requests_per_s for item in known)
     is_known = len(known) == len(told)
     if asked > 0.0:
         is_known = asked_known >= _KNOWN_SHARE * asked
@@ -135,7 +135,7 @@
         prefill=times * sum(item.prefill for item in known),
         decode=times * sum(item.decode for item in known),
         is_known=is_known,
-        asked=asked,
+        requests_per_s=asked,
     )
 
 
--- a/rackpost/decide/token_timing.py
+++ b/rackpost/decide/token_timing.py
@@ -31,7 +31,7 @@
 _FIRST_STEP_S = 0.1
 
 
-class Pace:
+class TokenTiming:
     """Running averages of the time that a token takes."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         self._extra_s = 0.0
         self._starts = 0
 
-    def made(self, tokens: int, seconds: float) -> None:
+    def record_decode(self, tokens: int, seconds: float) -> None:
         """A decode made so many tokens in so long."""
         if tokens <= 0:
             return
@@ -62,7 +62,7 @@
         """Whether prompts were read, and tokens made, since the start."""
         return self._token_s is not None and self._made_s is not None
 
-    def making(self, tokens: int, seconds: float) -> None:
+    def record_partial_decode(self, tokens: int, seconds: float) -> None:
         """A stream under way made so many tokens in so long.
 
         It counts only until a whole one has ended, which takes seconds.
@@ -70,11 +70,11 @@
         if self._made_s is None and tokens > 0:
             self._made_s = seconds / tokens
 
-    def making_s(self, tokens: float) -> float:
+    def decode_s(self, tokens: float) -> float:
         """How long it should take to make so many tokens."""
         return (self._made_s or 0.0) * tokens
 
-    def took(self, tokens: int, seconds: float) -> None:
+    def record_prefill(self, tokens: int, seconds: float) -> None:
         """A prefill, with what was ahead of it, took so long."""
         if tokens <= 0:
             return
@@ -84,19 +84,19 @@
         weight = _FASTER if pace < self._token_s else _SLOWER
         self._token_s += weight * (pace - self._token_s)
 
-    def expected_s(self, tokens: int) -> float:
+    def prefill_s(self, tokens: int) -> float:
         """How long it should take to read so many tokens."""
         return (self._token_s or 0.0) * tokens
 
-    def tokens_in(self, seconds: float) -> int:
+    def prefill_tokens_in(self, seconds: float) -> int:
         """How many tokens are read in so long; 0 if no pace is known."""
         return int(seconds / self._token_s) if self._token_s else 0
 
-    def started(self, tokens: int, seconds: float) -> None:
+    def record_start(self, tokens: int, seconds: float) -> None:
         """From its place a prompt took so long to its first event."""
         self._starts += 1
         step = max(_START_STEP_S, _FIRST_STEP_S / self._starts)
-        if seconds > self.expected_s(tokens) + self._extra_s:
+        if seconds > self.prefill_s(tokens) + self._extra_s:
             self._extra_s += _START_SHARE * step
         else:
             self._extra_s -= (1.0 - _START_SHARE) * step
@@ -104,10 +104,10 @@
 
     def start_s(self, tokens: int) -> float:
         """From a place to the first event, in seconds; most take less."""
-        return self.expected_s(tokens) + self._extra_s
+        return self.prefill_s(tokens) + self._extra_s
 
-    def patience_s(self, tokens: int) -> float:
+    def prefill_timeout_s(self, tokens: int) -> float:
         """How long to wait for it before it is read elsewhere."""
         if self._token_s is None:
             return _UNKNOWN_S
-        return max(_MIN_S, _PATIENCE_X * self.expected_s(tokens))
+        return max(_MIN_S, _PATIENCE_X * self.prefill_s(tokens))
--- a/rackpost/endpoint_notices.py
+++ b/rackpost/endpoint_notices.py
@@ -21,7 +21,7 @@
     now: float,
 ) -> None:
     """Raise Barred if nothing may be sent to an endpoint now."""
-    bar = eligible.bar(endpoint, now)
+    bar = eligible.ineligible_reason(endpoint, now)
     if bar is not None:
         raise exceptions.Barred(bar.value)
 
@@ -33,18 +33,18 @@
     *,
     part: logs.Part,
     now: float,
-) -> frozenset[eligibility.Bar]:
+) -> frozenset[eligibility.IneligibleReason]:
     """Note what an answer to a request for `requested` says; what is news."""
-    said = eligibility.Said(
+    said = eligibility.EndpointFeedback(
         backoff_s=headers.backoff_s(head),
         leaving=headers.announces_leaving(head),
-        turned_away=headers.is_rejection(head),
+        rejected=headers.is_rejection(head),
     )
-    endpoint = eligible.who_answered(requested, _answered_by(head))
+    endpoint = eligible.answering_endpoint(requested, _answered_by(head))
     if endpoint is None:
         return frozenset()
     _note_rate(eligible.rates, endpoint, head, part=part, now=now)
-    news = eligible.answered(endpoint, said, now)
+    news = eligible.record_feedback(endpoint, said, now)
     for bar in news:
         logs.say(
             part,
@@ -59,7 +59,7 @@
 
 
 def _note_rate(
-    book: endpoint_rates.RateBook,
+    book: endpoint_rates.RateTable,
     endpoint: endpoints.Endpoint,
     head: message.Head,
     *,
@@ -68,7 +68,7 @@
 ) -> None:
     """Note the rate that an answer names, or that it names none."""
     named = headers.named_rate(head)
-    if named.unreadable and book.is_first_unreadable(endpoint):
+    if named.unreadable and book.record_unreadable(endpoint):
         logs.say(
             part,
             "Rate can't be read.",
@@ -77,7 +77,7 @@
             status=head.status,
         )
     before = book.per_s(endpoint)
-    if not book.answered(endpoint, named, now):
+    if not book.record_answer(endpoint, named, now):
         return
     logs.say(
         part,
--- a/rackpost/entry/suspects.py
+++ b/rackpost/entry/suspects.py
@@ -45,18 +45,18 @@
             born=int(now),
         )
         self._book.forget(now)
-        self._book.take([found], now)
+        self._book.add([found], now)
 
     def answered(self, req: request.Request, now: float) -> None:
         """A request was answered in full, so that it ends no engine."""
         if len(self._book):
-            self._book.take(self._book.cleared(_known_by(req)), now)
+            self._book.add(self._book.clearances(_known_by(req)), now)
 
     def left_s(self, req: request.Request, now: float) -> float:
         """How much longer a request is held back, in seconds; 0 if not."""
-        if not self._book.holds_any():
+        if not self._book.may_hold_any():
             return 0.0
-        return self._book.left_s(_known_by(req), now)
+        return self._book.remaining_s(_known_by(req), now)
 
 
 def _known_by(req: request.Request) -> types.Fingerprint:
--- a/rackpost/gateway/admission_queue.py
+++ b/rackpost/gateway/admission_queue.py
@@ -57,7 +57,7 @@
     """Who reads a prompt: a prefill endpoint, or the one that decodes."""
 
     reader: endpoints.Endpoint | None
-    in_place: endpoint_choice.InPlace | None
+    in_place: endpoint_choice.InPlacePrefill | None
 
 
 class _Waiter:
@@ -77,8 +77,8 @@
         self,
         *,
         chooser: endpoint_choice.Chooser,
-        loads: endpoint_load.LoadBook,
-        pace: token_timing_mod.Pace,
+        loads: endpoint_load.LoadTable,
+        pace: token_timing_mod.TokenTiming,
         rng: random.Random,
         vm: types.VmId,
         capacity_changed: asyncio.Event,
@@ -103,10 +103,12 @@
         # When a place was last given, by the loop's clock.
         self._begun_at = self._loop.time()
 
-    def most_urgent_waiters(self, now: float) -> tuple[queue_order.Left, ...]:
+    def most_urgent_waiters(
+        self, now: float
+    ) -> tuple[queue_order.WaitingSummary, ...]:
         """Those that wait here and go first."""
         found = [
-            queue_order.left(waiter.wanted.claim, now)
+            queue_order.summarize(waiter.wanted.claim, now)
             for waiter in self._waiters
             if not waiter.found.done()
         ]
@@ -148,12 +150,12 @@
         cache there is nothing to read, so that no turn is needed.
         """
         now = self._loop.time()
-        if not self._chooser.candidates.still_takes(endpoint, now):
+        if not self._chooser.candidates.may_resend(endpoint, now):
             return None
         return reservation_mod.DecodeReservation(
             endpoint=endpoint,
             prefill_endpoint=None,
-            free=self._loads.hold(endpoint.id, run=wanted.run),
+            free=self._loads.add_request(endpoint.id, run=wanted.run),
             end_turn=_nothing,
             changed=self._changed.set,
             reserved_at=now,
@@ -162,7 +164,7 @@
     def _refuse_if_hopeless(self, waiter: _Waiter, now: float) -> None:
         claim = waiter.wanted.claim
         wait_s = self._expected_wait_s(waiter.wanted, now)
-        hopeless = queue_order.is_known_hopeless(claim, wait_s, now)
+        hopeless = queue_order.will_be_infeasible(claim, wait_s, now)
         if hopeless or len(self._waiters) > _MOST:
             self._settle(waiter, self._full(waiter.wanted, now))
 
@@ -170,8 +172,8 @@
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> float:
         """How long all decode endpoints still want nothing, in seconds."""
-        opens_s = self._chooser.candidates.opens_s(
-            wanted.service, types.Role.DECODE, but=wanted.exclude, now=now
+        opens_s = self._chooser.candidates.available_in_s(
+            wanted.service, types.Role.DECODE, exclude=wanted.exclude, now=now
         )
         return opens_s or 0.0
 
@@ -179,16 +181,16 @@
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> float:
         """How long until it is its turn, in seconds."""
-        mine = queue_order.order(wanted.claim, now)
+        mine = queue_order.rank_of(wanted.claim, now)
         ahead = sum(
-            queue_order.order(item.wanted.claim, now) <= mine
+            queue_order.rank_of(item.wanted.claim, now) <= mine
             for item in self._waiters
             if item.wanted is not wanted
         )
         opening_s = self._opening_s(wanted, ahead, now)
         if (
             opening_s > 0.0
-            and self._chooser.free_slots(wanted.service, now) > ahead
+            and self._chooser.free_decode_slots(wanted.service, now) > ahead
         ):
             # Nothing has to end first.
             return opening_s
@@ -207,17 +209,17 @@
         opens_s = self._opens_s(wanted, now)
         found = self._chooser.candidates
         role = types.Role.DECODE
-        per_s = found.own_per_s(
-            wanted.service, role, but=wanted.exclude, now=now
+        per_s = found.own_rate_per_s(
+            wanted.service, role, exclude=wanted.exclude, now=now
         )
         if opens_s <= 0.0 and per_s is None:
             return 0.0
-        return plain_queue.wait_s(
+        return plain_queue.expected_wait_s(
             ahead=ahead,
             count=len(found.members(wanted.service, role)),
             answer_s=wanted.claim.start_s,
-            opens_s=opens_s,
-            per_s=per_s,
+            available_in_s=opens_s,
+            rate_per_s=per_s,
         )
 
     def _queue_s(
@@ -227,10 +229,10 @@
         now: float,
     ) -> float:
         """How long those that go before it will take, in seconds."""
-        left = queue_order.left(wanted.claim, now)
+        left = queue_order.summarize(wanted.claim, now)
         return queue_order.expected_wait_s(
-            ahead=ahead + self._loads.ahead(left, self._vm, now),
-            running=self._chooser.running(wanted.service, now),
+            ahead=ahead + self._loads.waiting_ahead(left, self._vm, now),
+            running=self._chooser.running_generations(wanted.service, now),
             run_s=self._pace.run_s,
         )
 
@@ -239,7 +241,7 @@
     ) -> reservation_mod.NoCapacity:
         wait_s = self._expected_wait_s(wanted, now)
         chance = self._rng.random()
-        after = queue_order.come_back_s(wanted.claim, wait_s, now, chance)
+        after = queue_order.retry_after_s(wanted.claim, wait_s, now, chance)
         # Nobody is told to come back before anything may be sent.
         after = max(after, self._opens_s(wanted, now))
         return reservation_mod.NoCapacity(
@@ -255,7 +257,7 @@
     def _give(self) -> None:
         now = self._loop.time()
         self._waiters.sort(
-            key=lambda item: queue_order.order(item.wanted.claim, now)
+            key=lambda item: queue_order.rank_of(item.wanted.claim, now)
         )
         self._drop_hopeless(now)
         unplaced = 0
@@ -282,7 +284,7 @@
             opens = now + self._opening_s(wanted, ahead, now)
             if waiter.found.done():
                 continue
-            if queue_order.is_hopeless(wanted.claim, opens):
+            if queue_order.is_infeasible(wanted.claim, opens):
                 place = self._try(wanted, now)
                 self._settle(waiter, place or self._full(wanted, now))
             else:
@@ -299,7 +301,7 @@
         claim = wanted.claim
         if now < self._begun_at + _TRY_S or now >= claim.target:
             return None
-        if claim.stops:
+        if claim.gateway_stopping:
             return None
         way = self._way(wanted, now)
         return way and self._place(wanted, way, now)
@@ -308,15 +310,17 @@
         self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
     ) -> bool:
         """Whether no more go before it elsewhere than there are places."""
-        left = queue_order.left(wanted.claim, now)
-        ahead = self._loads.ahead(left, self._vm, now)
+        left = queue_order.summarize(wanted.claim, now)
+        ahead = self._loads.waiting_ahead(left, self._vm, now)
         # Two prompts read at one time at one endpoint make all that run
         # there late, so that even few gateways take turns.
         if ahead == 0 or (
-            way.in_place is None and self._loads.gateways <= fleet_size.RACING
+            way.in_place is None
+            and self._loads.gateway_count
+            <= fleet_size.MAX_GATEWAYS_WITHOUT_RACES
         ):
             return True
-        places = self._chooser.places(
+        places = self._chooser.decode_capacity(
             wanted.service,
             wanted.run,
             _usable(wanted),
@@ -330,20 +334,22 @@
     def _prefill_places(
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> int:
-        return self._chooser.prefill_places(
-            wanted.service, self._pace.tokens_in(_QUEUE_S), now
+        return self._chooser.prefill_capacity(
+            wanted.service, self._pace.prefill_tokens_in(_QUEUE_S), now
         )
 
     def _in_place(
         self, wanted: reservation_mod.ReservationRequest, now: float
-    ) -> endpoint_choice.InPlace | None:
+    ) -> endpoint_choice.InPlacePrefill | None:
         """How the decode endpoint reads the prompt, if it is to."""
         read_apart = self._split and not wanted.in_place
-        if read_apart and not self._chooser.reads_in_place(
+        if read_apart and not self._chooser.must_prefill_in_place(
             wanted.service, now
         ):
             return None
-        return endpoint_choice.InPlace(rest_s=wanted.event_interval_s)
+        return endpoint_choice.InPlacePrefill(
+            min_interval_s=wanted.event_interval_s
+        )
 
     def _way(
         self, wanted: reservation_mod.ReservationRequest, now: float
@@ -358,24 +364,26 @@
     def _place(
         self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
     ) -> reservation_mod.DecodeReservation | None:
-        endpoint = self._chooser.decode(
+        endpoint = self._chooser.choose_decode(
             wanted.service,
             wanted.run,
             _usable(wanted),
             in_place=way.in_place,
-            but=wanted.exclude,
+            exclude=wanted.exclude,
             now=now,
         )
         if endpoint is None:
             return None
         self._begun_at = now
-        free = self._loads.hold(endpoint.id, run=wanted.run)
-        self._chooser.candidates.chose(endpoint, now)
+        free = self._loads.add_request(endpoint.id, run=wanted.run)
+        self._chooser.candidates.record_selection(endpoint, now)
         if way.reader is None:
-            end_turn = self._turn_to_read(endpoint, wanted.run.size)
+            end_turn = self._turn_to_read(endpoint, wanted.run.held_tokens)
         else:
-            self._chooser.candidates.chose(way.reader, now)
-            end_turn = self._loads.hold(way.reader.id, prompt=wanted.run.size)
+            self._chooser.candidates.record_selection(way.reader, now)
+            end_turn = self._loads.add_request(
+                way.reader.id, prompt=wanted.run.held_tokens
+            )
         return reservation_mod.DecodeReservation(
             endpoint=endpoint,
             prefill_endpoint=way.reader,
@@ -389,10 +397,10 @@
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> endpoints.Endpoint | None:
         """A prefill endpoint that reads the prompt without much delay."""
-        return self._chooser.prefill(
+        return self._chooser.choose_prefill(
             wanted.service,
-            wanted.run.size,
-            most_ahead=self._pace.tokens_in(_QUEUE_S),
+            wanted.run.held_tokens,
+            max_ahead_tokens=self._pace.prefill_tokens_in(_QUEUE_S),
             now=now,
         )
 
@@ -400,11 +408,11 @@
         self, endpoint: endpoints.Endpoint, prompt: int
     ) -> Callable[[], None]:
         """Take the turn to read a prompt; what is returned ends it."""
-        release = self._loads.hold(endpoint.id, prompt=prompt)
+        release = self._loads.add_request(endpoint.id, prompt=prompt)
 
         def end_turn() -> None:
             release()
-            self._loads.note_read(endpoint.id, self._loop.time())
+            self._loads.record_prefilled(endpoint.id, self._loop.time())
 
         return end_turn
 
@@ -423,6 +431,6 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_LOOK_S if self._waiters else None):
                     await self._changed.wait()
-                await asyncio.sleep(_GATHER_EACH_S * self._loads.gateways)
+                await asyncio.sleep(_GATHER_EACH_S * self._loads.gateway_count)
             self._changed.clear()
             self._give()
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -60,10 +60,10 @@
     Raises Barred where there is none now.
     """
     site = call.site
-    per_s = site.chooser.candidates.own_per_s(
+    per_s = site.chooser.candidates.own_rate_per_s(
         endpoint.service,
         endpoint.role,
-        but=call.not_again,
+        exclude=call.not_again,
         now=site.loop_time(),
     )
     # Where one takes what comes, it goes there rather than wait here.
@@ -120,7 +120,7 @@
         return
     other = message.find(head.headers, headers.ANSWERED_BY)
     if other is None or other == endpoint.id.encode():
-        call.site.health.broke(endpoint.id, call.site.loop_time())
+        call.site.health.record_failure(endpoint.id, call.site.loop_time())
     elif call.site.table.drop(endpoint.id):
         call.log(
             "Endpoint is replaced.",
@@ -131,7 +131,7 @@
 
 async def run(
     call: call_mod.Call, endpoint: endpoints.Endpoint
-) -> retry_decision.Ended | None:
+) -> retry_decision.AttemptEnd | None:
     """Have an endpoint run a request and pass its answer on.
 
     None once the client has the whole answer.  An own failure of the
@@ -148,7 +148,7 @@
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     exc: exceptions.ExchangeError,
-) -> retry_decision.Ended:
+) -> retry_decision.AttemptEnd:
     """An endpoint takes no connection; the request was not sent."""
     if isinstance(exc, exceptions.Barred):
         return _barred(call, endpoint, exc)
@@ -160,13 +160,13 @@
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     exc: exceptions.Barred,
-) -> retry_decision.Ended:
+) -> retry_decision.AttemptEnd:
     """Nothing may be sent there any more since it was chosen.
 
     That says nothing against the endpoint and uses up no attempt.
     """
     call.log("Not sent.", endpoint=endpoint.id, why=str(exc))
-    return retry_decision.Ended.NOT_SENT
+    return retry_decision.AttemptEnd.NOT_SENT
 
 
 async def run_on(
@@ -175,7 +175,7 @@
     conn: client.ClientConnection,
     extra: list[message.Header],
     grant: rate_grants.Grant | None = None,
-) -> retry_decision.Ended | None:
+) -> retry_decision.AttemptEnd | None:
     """As `run`, on a connection that is up, with further headers."""
     began = call.site.loop_time()
     if call.sampled or call.tried:
@@ -193,9 +193,12 @@
         ended = _barred(call, endpoint, exc)
     except exceptions.ExchangeError as exc:
         ended = _broke(call, endpoint, exc, began=began)
-    if ended is not retry_decision.Ended.NOT_SENT:
+    if ended is not retry_decision.AttemptEnd.NOT_SENT:
         call.sent += 1
-    if ended in (retry_decision.Ended.NOT_SENT, retry_decision.Ended.NOT_RUN):
+    if ended in (
+        retry_decision.AttemptEnd.NOT_SENT,
+        retry_decision.AttemptEnd.NOT_RUN,
+    ):
         call.may_have_run = ran_before
         if call.charge is not None:
             call.charge.not_run(call.site.loop_time())
@@ -220,7 +223,7 @@
         slots=endpoint.slots,
         rate_per_s=site.eligible.rates.per_s(endpoint),
         gateways=site.gateway_count,
-        figures_s=round(site.loads.oldest_s(now), 2),
+        figures_s=round(site.loads.oldest_age_s(now), 2),
         time_left_s=round(call.until - now, 3),
     )
 
@@ -231,12 +234,12 @@
     exc: exceptions.ExchangeError,
     *,
     began: float | None,
-) -> retry_decision.Ended:
+) -> retry_decision.AttemptEnd:
     """Note that an attempt broke, sent at `began`; None if it was not."""
     site = call.site
     now = site.loop_time()
     if not isinstance(exc, exceptions.NoPlace):
-        site.health.broke(endpoint.id, now)
+        site.health.record_failure(endpoint.id, now)
     call.log(
         "Attempt broke.",
         endpoint=endpoint.id,
@@ -247,10 +250,10 @@
         others=site.loads.total(endpoint.id).requests,
     )
     if not exc.sent:
-        return retry_decision.Ended.NOT_SENT
+        return retry_decision.AttemptEnd.NOT_SENT
     if began is not None:
         call.note_broken(endpoint, began=began)
-    return retry_decision.Ended.BROKEN
+    return retry_decision.AttemptEnd.BROKEN
 
 
 async def _take(
@@ -258,17 +261,19 @@
     endpoint: endpoints.Endpoint,
     reply: Reply,
     began: float,
-) -> retry_decision.Ended | None:
+) -> retry_decision.AttemptEnd | None:
     head = reply.head
     if answer_check.is_not_run(head):
         await reply.conn.read_whole(_MAX_ANSWER)
         _note_not_run(call, endpoint, head)
-        return retry_decision.Ended.NOT_RUN
+        return retry_decision.AttemptEnd.NOT_RUN
     why = answer_check.why_unsound(head, call.request_id)
     if why:
         raise exceptions.ExchangeError(why)
     if answer_check.is_stream(head):
-        call.site.health.answered(endpoint.id, call.site.loop_time() - began)
+        call.site.health.record_answer(
+            endpoint.id, call.site.loop_time() - began
+        )
         await answer_relay.relay(call, head, reply.conn)
         call.delivered(endpoint, head)
         return None
@@ -287,7 +292,7 @@
     )
     note_replaced(call, endpoint, head)
     if head.status == 503:
-        call.site.health.turned_away(endpoint.id, call.site.loop_time())
+        call.site.health.record_rejection(endpoint.id, call.site.loop_time())
     if headers.backoff_s(head) is not None:
         call.asked_to_wait.append(endpoint.id)
 
@@ -297,20 +302,20 @@
     endpoint: endpoints.Endpoint,
     reply: Reply,
     began: float,
-) -> retry_decision.Ended | None:
+) -> retry_decision.AttemptEnd | None:
     body = await reply.conn.read_whole(_MAX_ANSWER)
     head = reply.head
     if call.responder.started:
         # A stream can't go on with an answer that is none.
         raise exceptions.ExchangeError("not a stream to go on with")
     if head.status >= 500:
-        call.site.health.erred(endpoint.id)
+        call.site.health.record_error(endpoint.id)
         call.failure = call_mod.Failure(head=head, body=body)
         call.log("Endpoint failed.", endpoint=endpoint.id, status=head.status)
-        return retry_decision.Ended.FAILED
+        return retry_decision.AttemptEnd.FAILED
     took = call.site.loop_time() - began
     if call.route.kind is not model.RouteKind.STREAM:
-        call.site.health.answered(endpoint.id, took)
+        call.site.health.record_answer(endpoint.id, took)
     answer_relay.pass_whole(call, head, body)
     call.delivered(endpoint, head)
     return None
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -152,7 +152,7 @@
             repeatable=self.route.repeatable,
             may_have_run=self.may_have_run,
             attempts_left=self.route.max_attempts - len(self.ran_at),
-            budget=self.budget.allows(now, self.site.gateway_count),
+            budget_allows=self.budget.allows(now, self.site.gateway_count),
             time_left_s=self.until - now,
         )
 
@@ -201,7 +201,7 @@
     def held_s(self) -> float:
         """How much longer it is held back, in seconds; 0 if it is not."""
         suspects = self.site.suspects
-        if not suspects.book.holds_any():
+        if not suspects.book.may_hold_any():
             # As a rule: no request is digested before it is sent.
             return 0.0
         return suspects.quarantine_left_s(
@@ -219,7 +219,9 @@
         self.log(
             "Held back.",
             fingerprint=self.fingerprint.hex(),
-            endpoints=self.site.suspects.book.ended(self.fingerprint),
+            endpoints=self.site.suspects.book.ended_endpoints(
+                self.fingerprint
+            ),
             left_s=round(left_s),
         )
         if self.may_have_run:
--- a/rackpost/gateway/charge.py
+++ b/rackpost/gateway/charge.py
@@ -35,11 +35,13 @@
             self._quotas.admit(self._name, self._units, now)
         self._is_waiting = False
         self._sent_at = now
-        self._quotas.sent(self._name, self._units, now)
+        self._quotas.record_sent(self._name, self._units, now)
 
     def not_run(self, now: float) -> None:
         """The endpoint that it was sent to has not run it."""
-        self._quotas.not_run(self._name, self._units, self._sent_at, now)
+        self._quotas.record_not_run(
+            self._name, self._units, self._sent_at, now
+        )
         self._is_waiting = True
 
     def end(self, now: float) -> None:
@@ -53,4 +55,4 @@
     """What a request counts: its prompt and the most that it may answer."""
     sizes = headers.request_sizes(req.headers)
     tokens = None if sizes is None else sizes.prompt + sizes.max_output
-    return quota.units(limit, tokens)
+    return quota.request_units(limit, tokens)
--- a/rackpost/gateway/control_links.py
+++ b/rackpost/gateway/control_links.py
@@ -60,7 +60,7 @@
         # Only the leader has any; what a former one said is dropped with
         # its next word or its link.
         self._changing[host] = msg.ids
-        self._site.eligible.set_changing(
+        self._site.eligible.set_changing_role(
             key for ids in self._changing.values() for key in ids
         )
         self._site.room_changed.set()
@@ -92,7 +92,7 @@
     def _on_linked(self, conn: websocket.WebSocketChannel) -> None:
         """A coordinator is there: tell it what it may not know."""
         self._linked.add(conn)
-        items = self._site.suspects.book.known(1)
+        items = self._site.suspects.book.suspicions(1)
         if items:
             conn.send(messages.Suspicions(items=items))
 
--- a/rackpost/gateway/crash_tracker.py
+++ b/rackpost/gateway/crash_tracker.py
@@ -93,24 +93,24 @@
         self._served[request] = now
         while len(self._served) > _MOST_SERVED:
             del self._served[next(iter(self._served))]
-        self._clear(self.book.cleared(request), _IN_FULL, now)
+        self._clear(self.book.clearances(request), _IN_FULL, now)
 
     def receive(
         self, items: Iterable[quarantine.Suspicion], now: float
     ) -> None:
         """A coordinator tells what counts against some requests."""
-        for request in self.book.take(items, now):
+        for request in self.book.add(items, now):
             served_at = self._served.get(request)
             if served_at is not None and now - served_at < _SERVED_S:
-                self._clear(self.book.cleared(request), _IN_FULL, now)
-            elif self.book.is_held(request, now):
+                self._clear(self.book.clearances(request), _IN_FULL, now)
+            elif self.book.is_quarantined(request, now):
                 self._log_held(request, now)
 
     def quarantine_left_s(
         self, request: types.Fingerprint, now: float
     ) -> float:
         """How much longer a request is held back, in seconds; 0 if not."""
-        return self.book.left_s(request, now)
+        return self.book.remaining_s(request, now)
 
     def recheck(self, now: float) -> None:
         """Clear what endpoints have shown that are alive; about each second.
@@ -162,8 +162,8 @@
     def _add(
         self, items: tuple[quarantine.Suspicion, ...], now: float
     ) -> None:
-        for request in self.book.take(items, now):
-            if self.book.is_held(request, now):
+        for request in self.book.add(items, now):
+            if self.book.is_quarantined(request, now):
                 self._log_held(request, now)
         self.publish(items)
 
@@ -172,8 +172,8 @@
             logs.Part.GATEWAY,
             "Request is held back.",
             fingerprint=request.hex(),
-            endpoints=self.book.ended(request),
-            left_s=round(self.book.left_s(request, now)),
+            endpoints=self.book.ended_endpoints(request),
+            left_s=round(self.book.remaining_s(request, now)),
         )
 
 
--- a/rackpost/gateway/forward.py
+++ b/rackpost/gateway/forward.py
@@ -35,7 +35,7 @@
     per_s = _own_per_s(call)
     if per_s is not None:
         line = site.line(call.service.name)
-        opens_s = line.turn_s(opens_s, per_s, site.loop_time())
+        opens_s = line.retry_after_s(opens_s, per_s, site.loop_time())
     spread_s = _COME_BACK_SPREAD_S * site.rng.random()
     return max(_COME_BACK_S, opens_s) + spread_s
 
@@ -59,14 +59,14 @@
     """Send it there; whether the client has been answered."""
     site = call.site
     began = site.loop_time()
-    site.chooser.candidates.chose(endpoint, began)
-    with site.loads.held(endpoint.id):
+    site.chooser.candidates.record_selection(endpoint, began)
+    with site.loads.request_added(endpoint.id):
         ahead = site.loads.total(endpoint.id).requests
         ended = await attempt.run(call, endpoint)
     if ended is not None:
         return not goes_on(call, ended)
     took = site.loop_time() - began
-    site.health.worked(endpoint.id, took, ahead / max(1, endpoint.slots))
+    site.health.record_work(endpoint.id, took, ahead / max(1, endpoint.slots))
     return True
 
 
@@ -80,21 +80,21 @@
         slots=endpoint.slots,
         work_s=site.health.work_s(endpoint.id),
         target_s=call.route.target_s,
-        left_s=call.until - now,
-        came_back=site.refused.came_back(key, now),
+        remaining_s=call.until - now,
+        refused_before=site.refused.was_refused(key, now),
     )
-    if not admission.should_come_back(arrival):
+    if not admission.should_refuse(arrival):
         return False
     call.log(
         "Would be late.",
         endpoint=endpoint.id,
         ahead=arrival.ahead,
         slots=arrival.slots,
-        came_back=arrival.came_back,
+        came_back=arrival.refused_before,
         expected_s=round(admission.expected_s(arrival), 3),
     )
     site.refused.add(key, now)
-    after = admission.come_back_s(arrival, site.rng.random())
+    after = admission.retry_after_s(arrival, site.rng.random())
     call.refuse(call_mod.Reason.WOULD_BE_LATE, after)
     return True
 
@@ -103,7 +103,7 @@
     site = call.site
     now = site.loop_time()
     name = call.service.name
-    return site.chooser.plain(name, but=call.not_again, now=now)
+    return site.chooser.choose_plain(name, exclude=call.not_again, now=now)
 
 
 def _role(call: call_mod.Call) -> types.Role:
@@ -119,22 +119,22 @@
     None where there is none, or they don't say.
     """
     site = call.site
-    return site.chooser.candidates.opens_s(
+    return site.chooser.candidates.available_in_s(
         call.service.name,
         _role(call),
-        but=call.not_again,
+        exclude=call.not_again,
         now=site.loop_time(),
     )
 
 
 def _rank(call: call_mod.Call) -> plain_queue.Rank:
-    return plain_queue.Rank(priority=call.priority, until=call.until)
+    return plain_queue.Rank(priority=call.priority, deadline=call.until)
 
 
 def _choose_in_turn(call: call_mod.Call) -> endpoints.Endpoint | None:
     """As `_choose`, unless others that wait go first."""
     line = call.site.line(call.service.name)
-    if not line.may_look(_rank(call), call.site.loop_time()):
+    if not line.may_check(_rank(call), call.site.loop_time()):
         return None
     return _choose(call)
 
@@ -142,10 +142,10 @@
 def _own_per_s(call: call_mod.Call) -> float | None:
     """Requests a second that endpoints take from here, if all name a rate."""
     site = call.site
-    return site.chooser.candidates.own_per_s(
+    return site.chooser.candidates.own_rate_per_s(
         call.service.name,
         _role(call),
-        but=call.not_again,
+        exclude=call.not_again,
         now=site.loop_time(),
     )
 
@@ -164,7 +164,7 @@
     """
     site = call.site
     line = site.line(call.service.name)
-    with line.waiting(_rank(call)) as waiter:
+    with line.join(_rank(call)) as waiter:
         while True:
             opens_s = _opens_s(call)
             if opens_s is None or _is_too_late(call, opens_s):
@@ -172,7 +172,7 @@
             # A hundred that wait must not keep a small VM busy; one that
             # comes new meanwhile is found a little later.
             pause_s = min(max(opens_s, _LOOK_S), _LOOK_AGAIN_S)
-            waiter.looks_at = site.loop_time() + pause_s
+            waiter.next_check_at = site.loop_time() + pause_s
             await asyncio.sleep(pause_s)
             endpoint = _choose_in_turn(call)
             if endpoint is not None:
@@ -183,13 +183,13 @@
     """Whether it can't be answered in time, of all that wait."""
     site = call.site
     name = call.service.name
-    answer_s = site.chooser.usual_s(name, _role(call))
-    wait_s = plain_queue.wait_s(
+    answer_s = site.chooser.median_answer_s(name, _role(call))
+    wait_s = plain_queue.expected_wait_s(
         ahead=site.line(name).ahead(_rank(call)),
         count=len(site.chooser.candidates.members(name, _role(call))),
         answer_s=answer_s,
-        opens_s=opens_s,
-        per_s=_own_per_s(call),
+        available_in_s=opens_s,
+        rate_per_s=_own_per_s(call),
     )
     return site.loop_time() + wait_s + answer_s > call.until
 
@@ -208,25 +208,25 @@
     return endpoint
 
 
-def goes_on(call: call_mod.Call, ended: retry_decision.Ended) -> bool:
+def goes_on(call: call_mod.Call, ended: retry_decision.AttemptEnd) -> bool:
     """Whether to try again; if not, the client has been told."""
     now = call.site.loop_time()
-    step = retry_decision.after(ended, call.situation(now))
-    if step is retry_decision.Next.AGAIN:
-        if ended is not retry_decision.Ended.NOT_SENT:
-            call.budget.repeat(now)
+    step = retry_decision.next_step(ended, call.situation(now))
+    if step is retry_decision.NextStep.RETRY:
+        if ended is not retry_decision.AttemptEnd.NOT_SENT:
+            call.budget.record_retry(now)
             call.site.metrics.count("repeats", ended, call.route.name)
             call.log(
                 "Tried again.",
                 after=ended.value,
                 budget_left=round(
-                    call.budget.left(now, call.site.gateway_count), 1
+                    call.budget.remaining(now, call.site.gateway_count), 1
                 ),
             )
         return True
-    if step is retry_decision.Next.PASS and call.failure is not None:
+    if step is retry_decision.NextStep.PASS_ON and call.failure is not None:
         answer_relay.pass_whole(call, call.failure.head, call.failure.body)
-    elif step is retry_decision.Next.REFUSE:
+    elif step is retry_decision.NextStep.REFUSE:
         call.refuse(call_mod.Reason.REJECTED, come_back_s(call))
     else:
         call.fail(call_mod.Reason.BROKEN, 502)
--- a/rackpost/gateway/generate.py
+++ b/rackpost/gateway/generate.py
@@ -51,7 +51,7 @@
         self._key = book.key(call.route.name, part, call.req.body)
         # Its time counts from its client's first try, so that one that was
         # refused before is late.
-        self._came_back = book.came_back(self._key, call.began)
+        self._came_back = book.was_refused(self._key, call.began)
         self._read = prefill.Prefilled(call=call)
         # No prefill endpoint has read it: wait for a turn at a decode one.
         self._in_place = False
@@ -64,7 +64,7 @@
         return kv_forecast.Progress(
             prompt=self._prompt,
             guess=self._call.site.lengths.expected(self._guess, self._most),
-            most=self._most,
+            max_tokens=self._most,
             event_tokens=self._engine.event_tokens,
             spread=self._call.site.lengths.spread,
         )
@@ -92,7 +92,7 @@
             if ended is None or not forward.goes_on(call, ended):
                 self._read.release()
                 return
-            if ended is retry_decision.Ended.BROKEN:
+            if ended is retry_decision.AttemptEnd.BROKEN:
                 self._broke_at = place.endpoint
 
     def _kept_place(self) -> reservation_mod.DecodeReservation | None:
@@ -119,13 +119,18 @@
 
         def on_event() -> None:
             nonlocal began
-            if progress.made == 0:
+            if progress.generated_tokens == 0:
                 began = site.loop_time()
                 self._note_start(place)
             place.record_prefilled()
-            if progress.made == _EVENTS_SEEN * self._engine.event_tokens:
-                site.pace.making(progress.made, site.loop_time() - began)
-            progress.event()
+            if (
+                progress.generated_tokens
+                == _EVENTS_SEEN * self._engine.event_tokens
+            ):
+                site.pace.record_partial_decode(
+                    progress.generated_tokens, site.loop_time() - began
+                )
+            progress.record_event()
 
         return on_event
 
@@ -133,14 +138,14 @@
         """The first event has come; learn from how long it took."""
         if place.prefill_endpoint is not None:
             site = self._call.site
-            site.pace.started(
+            site.pace.record_start(
                 self._prompt, site.loop_time() - place.reserved_at
             )
 
     def _note_demand(self) -> None:
         """Count what this request asks of each role of endpoint."""
         site = self._call.site
-        out = self._progress.run.left
+        out = self._progress.run.remaining_tokens
         # Room is kept for more than the mean of what a run holds.
         held = self._prompt + _KEPT_SHARE * out
         share = max(
@@ -158,27 +163,27 @@
             memory_tokens=self._engine.memory_tokens,
             run=self._progress.run,
             exclude=call.not_again,
-            event_interval_s=call.site.pace.making_s(
+            event_interval_s=call.site.pace.decode_s(
                 self._engine.event_tokens
             ),
             in_place=self._in_place,
             claim=self._claim(),
         )
 
-    def _claim(self) -> queue_order.Claim:
+    def _claim(self) -> queue_order.WaitingRequest:
         call = self._call
         pace = call.site.pace
         start_s = pace.start_s(self._prompt)
-        return queue_order.Claim(
+        return queue_order.WaitingRequest(
             priority=call.priority,
             target=self._target(),
             start_by=self._start_by(),
             # One that a planned stop would cut off is not begun.
-            until=min(call.until, call.site.planned_stop.ends_at),
-            stops=call.site.planned_stop.is_under_way,
-            came_back=self._came_back,
+            deadline=min(call.until, call.site.planned_stop.ends_at),
+            gateway_stopping=call.site.planned_stop.is_under_way,
+            refused_before=self._came_back,
             start_s=start_s,
-            run_s=start_s + pace.making_s(self._progress.run.left),
+            run_s=start_s + pace.decode_s(self._progress.run.remaining_tokens),
         )
 
     def _target(self) -> float:
@@ -200,7 +205,7 @@
 
     async def _run_at(
         self, place: reservation_mod.DecodeReservation
-    ) -> retry_decision.Ended | None:
+    ) -> retry_decision.AttemptEnd | None:
         call = self._call
         decode = place.endpoint
         try:
@@ -211,7 +216,7 @@
                 grant = await enter(attempt.granted(call, decode))
                 if not await self._can_run(place):
                     self._in_place = True
-                    return retry_decision.Ended.NOT_SENT
+                    return retry_decision.AttemptEnd.NOT_SENT
                 self._in_place = False
                 began = call.site.loop_time()
                 ended = await attempt.run_on(
@@ -221,17 +226,17 @@
             return attempt.not_connected(call, decode, exc)
         if ended is None:
             self._note_made(call.site.loop_time() - began)
-        elif ended is not retry_decision.Ended.NOT_SENT:
+        elif ended is not retry_decision.AttemptEnd.NOT_SENT:
             self._read.release()
         return ended
 
     def _note_made(self, took_s: float) -> None:
         """The whole answer was made; learn from it."""
         site = self._call.site
-        made = self._progress.made
+        made = self._progress.generated_tokens
         self._read.taken()
-        site.pace.made(made, took_s)
-        site.lengths.ended(guess=self._guess, made=made)
+        site.pace.record_decode(made, took_s)
+        site.lengths.record_answer(guess=self._guess, actual=made)
 
     async def _can_run(self, place: reservation_mod.DecodeReservation) -> bool:
         """Whether the prompt is read, or it is its turn to be in place."""
@@ -249,7 +254,7 @@
         call = self._call
         now = call.site.loop_time()
         first = not self._read.arrivals and not call.sent
-        left = call.budget.left(now, call.site.gateway_count)
+        left = call.budget.remaining(now, call.site.gateway_count)
         # A second reading elsewhere is one more arrival than one in place.
         if first or left >= 2.0:
             await prefill.prefill(
@@ -272,7 +277,7 @@
             "No room.",
             expected_wait_s=round(full.expected_wait_s, 3),
             prompt=self._prompt,
-            expected_out=self._progress.run.left,
+            expected_out=self._progress.run.remaining_tokens,
             came_back=self._came_back,
             waited_s=round(call.site.loop_time() - call.began, 3),
         )
--- a/rackpost/gateway/handler.py
+++ b/rackpost/gateway/handler.py
@@ -137,7 +137,7 @@
             began=began,
             until=until,
         )
-        call.budget.request(self._site.loop_time())
+        call.budget.record_request(self._site.loop_time())
         if call.end_if_barred() or self._is_over_quota(call):
             return
         try:
@@ -156,17 +156,17 @@
         wanted = charge.units(item.quota, call.req)
         refused = site.quotas.check(item, wanted, now)
         if refused is not None:
-            site.quota_use.refused(item.name, now)
+            site.quota_use.record_refused(item.name, now)
             self._refuse_over(call, wanted, refused)
             return True
-        site.quota_use.admitted(item.name, wanted, now)
+        site.quota_use.record_admitted(item.name, wanted, now)
         call.charge = charge.Charge(
             quotas=site.quotas, organisation=item, units=wanted, now=now
         )
         return False
 
     def _refuse_over(
-        self, call: call_mod.Call, wanted: int, refused: quota.Refused
+        self, call: call_mod.Call, wanted: int, refused: quota.OverQuota
     ) -> None:
         site = self._site
         call.log(
@@ -174,13 +174,13 @@
             units=wanted,
             used=round(refused.used),
             bound=round(refused.bound),
-            room_s=round(refused.room_s, 2),
+            room_s=round(refused.retry_after_s, 2),
             gateways=site.gateway_count,
-            heard=site.quotas.heard(site.loop_time()),
-            figures_s=round(site.loads.oldest_s(site.loop_time()), 2),
+            heard=site.quotas.reachable_gateways(site.loop_time()),
+            figures_s=round(site.loads.oldest_age_s(site.loop_time()), 2),
         )
         spread = 1.0 + _QUOTA_SPREAD * site.rng.random()
-        after_s = max(_QUOTA_SOONEST_S, refused.room_s) * spread
+        after_s = max(_QUOTA_SOONEST_S, refused.retry_after_s) * spread
         call.refuse(call_mod.Reason.OVER_QUOTA, after_s, status=429)
 
     async def _answer_in_time(self, call: call_mod.Call) -> None:
--- a/rackpost/gateway/load_exchange.py
+++ b/rackpost/gateway/load_exchange.py
@@ -66,27 +66,27 @@
 
     def _take(self, msg: messages.GatewayLoad, now: float) -> None:
         site = self._site
-        site.loads.take(
+        site.loads.receive(
             msg.vm,
             msg.incarnation,
             msg.sequence,
             msg.loads,
             now,
-            first=msg.waiting,
+            waiting=msg.waiting,
         )
         site.add_gateway(
             messages.GatewayAddress(vm=msg.vm, load_address=msg.load_address)
         )
-        site.refused.take(msg.refused_keys, now)
-        if site.quotas.take(msg.vm, msg.incarnation, msg.quotas, now):
+        site.refused.receive(msg.refused_keys, now)
+        if site.quotas.receive(msg.vm, msg.incarnation, msg.quotas, now):
             # It should know soon what has been spent.
             site.loads_changed.set()
         for endpoint in msg.rejecting:
-            site.health.told_full(endpoint, now)
+            site.health.record_reported_full(endpoint, now)
         for endpoint in msg.failed:
-            site.health.told(endpoint, now)
+            site.health.record_reported_failure(endpoint, now)
         for endpoint, left_s in msg.backoffs.items():
-            site.health.told_backoff(endpoint, left_s, now)
+            site.health.record_reported_backoff(endpoint, left_s, now)
         for told in msg.named_rates:
             site.grants.receive_rate(told, now)
         site.room_changed.set()
@@ -117,7 +117,7 @@
         return [
             item
             for item in self._site.gateways.values()
-            if item.vm != me and group.has(item.vm)
+            if item.vm != me and group.contains(item.vm)
         ]
 
     def _figures(self, now: float) -> messages.GatewayLoad:
@@ -128,13 +128,13 @@
             incarnation=self._life,
             sequence=self._number,
             loads=site.loads.own,
-            failed=site.health.broken(now),
-            rejecting=site.health.full(now),
+            failed=site.health.failed_endpoints(now),
+            rejecting=site.health.full_endpoints(now),
             waiting=site.room.most_urgent_waiters(now),
             refused_keys=site.refused.recent(now),
-            quotas=site.quotas.tell(now),
-            backoffs=site.eligible.backoffs_left(now),
-            named_rates=site.eligible.rates.tell(now),
+            quotas=site.quotas.next_report(now),
+            backoffs=site.eligible.remaining_backoffs(now),
+            named_rates=site.eligible.rates.next_updates(now),
         )
 
     @contextlib.asynccontextmanager
--- a/rackpost/gateway/prefill.py
+++ b/rackpost/gateway/prefill.py
@@ -133,8 +133,8 @@
             return
         endpoint = reader
         if tried or endpoint is None:
-            endpoint = site.chooser.prefill(
-                call.service.name, prompt, but=tried, now=now
+            endpoint = site.chooser.choose_prefill(
+                call.service.name, prompt, exclude=tried, now=now
             )
         if endpoint is None:
             return
@@ -142,7 +142,7 @@
         tried.append(endpoint.id)
         # Counted as a repeat until it is known to be none: of many that
         # are sent at once all may be rejected, and those count.
-        call.budget.repeat(now)
+        call.budget.record_retry(now)
         ended = await _prefill_at(call, endpoint, prompt, held, read)
         if _is_free(ended, read):
             call.budget.refund(now)
@@ -160,9 +160,9 @@
         return True
     if read.arrivals or call.sent:
         return False
-    left = call.budget.left(now, site.gateway_count)
+    left = call.budget.remaining(now, site.gateway_count)
     since = now - site.host.bounds.retry_window_s
-    return left > -_MOST_UNSETTLED and site.chooser.takes_all_prompts(
+    return left > -_MOST_UNSETTLED and site.chooser.accepts_all_prompts(
         call.service.name, since, now
     )
 
@@ -184,8 +184,8 @@
     """Read a prompt there; `held` tokens of it are counted already."""
     site = call.site
     began = site.loop_time()
-    ahead = site.loads.total(endpoint.id).prompt - held
-    patience = site.pace.patience_s(ahead + prompt)
+    ahead = site.loads.total(endpoint.id).prompt_tokens - held
+    patience = site.pace.prefill_timeout_s(ahead + prompt)
     try:
         with _counted(call, endpoint, prompt - held):
             async with asyncio.timeout(patience):
@@ -199,8 +199,8 @@
     if result is None:
         return _Ended.REJECTED
     took = site.loop_time() - began
-    site.pace.took(ahead + prompt, took)
-    site.health.answered(endpoint.id, took)
+    site.pace.record_prefill(ahead + prompt, took)
+    site.health.record_answer(endpoint.id, took)
     read.put(endpoint, result)
     if call.sampled:
         call.log(
@@ -219,7 +219,7 @@
     """Count a prompt at an endpoint, unless it is counted already."""
     if prompt == 0:
         return contextlib.nullcontext()
-    return call.site.loads.held(endpoint.id, prompt=prompt)
+    return call.site.loads.request_added(endpoint.id, prompt=prompt)
 
 
 def _broke(
@@ -231,7 +231,7 @@
     began: float,
 ) -> _Ended:
     if not isinstance(exc, (exceptions.NoPlace, exceptions.Barred)):
-        call.site.health.broke(endpoint.id, call.site.loop_time())
+        call.site.health.record_failure(endpoint.id, call.site.loop_time())
     call.log(
         "Prefill failed.",
         endpoint=endpoint.id,
@@ -257,9 +257,11 @@
     if answer_check.is_not_run(reply.head) or reply.head.status != 200:
         attempt.note_replaced(call, endpoint, reply.head)
         if reply.head.status == 503:
-            call.site.health.turned_away(endpoint.id, call.site.loop_time())
+            call.site.health.record_rejection(
+                endpoint.id, call.site.loop_time()
+            )
         else:
-            call.site.health.erred(endpoint.id)
+            call.site.health.record_error(endpoint.id)
         call.log(
             "Prefill refused.",
             endpoint=endpoint.id,
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -83,7 +83,7 @@
         *,
         vm: types.VmId,
         eligible: eligibility.Eligibility,
-        loads: endpoint_load.LoadBook,
+        loads: endpoint_load.LoadTable,
         group: gateway_groups.Group,
         metrics: metrics_mod.Metrics,
         rng: random.Random,
@@ -94,7 +94,7 @@
         self._loads = loads
         self._group = group
         self._metrics = metrics
-        self._book = rate_grants.GrantBook(rng=rng)
+        self._book = rate_grants.GrantLedger(rng=rng)
         self._gateways: dict[types.VmId, messages.GatewayAddress] = {}
         # Answers to those of an earlier life of this gateway are for nobody.
         self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
@@ -112,9 +112,11 @@
         self._eligible.forget_rates()
         self._book.forget(self._loop.time() - _KEEP_S)
 
-    def receive_rate(self, told: endpoint_rates.Told, now: float) -> None:
+    def receive_rate(
+        self, told: endpoint_rates.RateUpdate, now: float
+    ) -> None:
         """Another gateway tells what an endpoint's answers named."""
-        if not self._eligible.rates.told(told, now):
+        if not self._eligible.rates.receive(told, now):
             return
         logs.say(
             logs.Part.GATEWAY,
@@ -137,7 +139,7 @@
         if not self.requires_grant(endpoint):
             return
         if grant is None or not grant.is_for(endpoint, self._loop.time()):
-            raise exceptions.Barred(eligibility.Bar.RATE.value)
+            raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
         grant.is_spent = True
 
     @contextlib.asynccontextmanager
@@ -150,8 +152,8 @@
         """
         grant = None
         if self.requires_grant(endpoint):
-            wish = rate_grants.Wish(
-                vm=self._vm, priority=priority, waits=waits
+            wish = rate_grants.GrantApplicant(
+                vm=self._vm, priority=priority, is_waiting=waits
             )
             grant = await self._ask(endpoint, wish)
         try:
@@ -161,7 +163,7 @@
                 self._give_back(grant)
 
     async def _ask(
-        self, endpoint: endpoints.Endpoint, wish: rate_grants.Wish
+        self, endpoint: endpoints.Endpoint, wish: rate_grants.GrantApplicant
     ) -> Grant:
         now = self._loop.time()
         owner = self._owner(endpoint.id, now)
@@ -170,13 +172,13 @@
         else:
             verdict = await self._ask_owner(owner, endpoint, wish)
         now = self._loop.time()
-        self._eligible.gate.answered(endpoint, verdict, now)
+        self._eligible.gate.record_decision(endpoint, verdict, now)
         if verdict.granted:
             self._count(_Asked.GRANTED, endpoint)
             return Grant(endpoint=endpoint, owner=owner, at=now)
         self._count(_Asked.USED_UP, endpoint)
         self._say(endpoint, owner, "Rate is used up.", verdict.wait_s)
-        raise exceptions.Barred(eligibility.Bar.RATE.value)
+        raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
 
     def _count(self, what: _Asked, endpoint: endpoints.Endpoint) -> None:
         self._metrics.count("rate_grants", what, endpoint.service)
@@ -203,8 +205,8 @@
         self,
         owner: types.VmId,
         endpoint: endpoints.Endpoint,
-        wish: rate_grants.Wish,
-    ) -> rate_grants.Verdict:
+        wish: rate_grants.GrantApplicant,
+    ) -> rate_grants.GrantDecision:
         number = next(self._numbers)
         rate = self._rate(endpoint.incarnation)
         msg = messages.GrantRequest(number=number, applicant=wish, rate=rate)
@@ -215,10 +217,12 @@
             async with asyncio.timeout(_ANSWER_S):
                 found = await answer
         except TimeoutError as exc:
-            self._eligible.gate.unanswered(endpoint, self._loop.time())
+            self._eligible.gate.record_no_answer(endpoint, self._loop.time())
             self._count(_Asked.UNANSWERED, endpoint)
             self._say(endpoint, owner, "Owner of a rate does not answer.")
-            raise exceptions.Barred(eligibility.Bar.RATE.value) from exc
+            raise exceptions.Barred(
+                eligibility.IneligibleReason.RATE.value
+            ) from exc
         finally:
             del self._asked[number]
         self.receive_rate(found.rate, self._loop.time())
@@ -229,9 +233,9 @@
         if known is not None:
             self.send(codec.encode(msg), address.split(known.load_address))
 
-    def _rate(self, key: endpoints.Incarnation) -> endpoint_rates.Told:
+    def _rate(self, key: endpoints.Incarnation) -> endpoint_rates.RateUpdate:
         """What is known here of a rate."""
-        return self._eligible.rates.tell_one(key, self._loop.time())
+        return self._eligible.rates.update_for(key, self._loop.time())
 
     def receive(self, msg: Message, sender: address.Address) -> None:
         """A message of another gateway."""
@@ -241,7 +245,7 @@
             self._take_answer(msg)
         else:
             key = endpoints.Incarnation(msg.endpoint, msg.born)
-            self._book.give_back(key)
+            self._book.release(key)
 
     def _answer(
         self, msg: messages.GrantRequest, sender: address.Address
@@ -263,18 +267,18 @@
     def _decide(
         self,
         key: endpoints.Incarnation,
-        wish: rate_grants.Wish,
+        wish: rate_grants.GrantApplicant,
         now: float,
-    ) -> rate_grants.Verdict:
+    ) -> rate_grants.GrantDecision:
         """What the owner says, if this gateway is the owner."""
         per_s = self._rate(key).per_s
         if per_s is None:
             # It has ended, and the asker is told so.
-            return rate_grants.Verdict(granted=True)
+            return rate_grants.GrantDecision(granted=True)
         if self._owner(key.id, now) != self._vm:
             # Two do not agree yet on who there is.
-            return rate_grants.Verdict(granted=False, wait_s=_ANSWER_S)
-        return self._book.ask(
+            return rate_grants.GrantDecision(granted=False, wait_s=_ANSWER_S)
+        return self._book.decide(
             key,
             wish,
             per_s=per_s,
@@ -286,7 +290,7 @@
     def _give_back(self, grant: Grant) -> None:
         key = grant.endpoint.incarnation
         if grant.owner == self._vm:
-            self._book.give_back(key)
+            self._book.release(key)
             return
         self._send_to(
             grant.owner, messages.ReturnGrant(endpoint=key.id, born=key.born)
@@ -306,7 +310,10 @@
             vm
             for vm in self._gateways
             if vm != self._vm
-            and (not self._group.has(vm) or self._loads.heard_from(vm, since))
+            and (
+                not self._group.contains(vm)
+                or self._loads.received_since(vm, since)
+            )
         ]
         return [self._vm, *heard]
 
--- a/rackpost/gateway/reservation.py
+++ b/rackpost/gateway/reservation.py
@@ -25,7 +25,7 @@
     memory_tokens: int
     run: kv_forecast.Run
     exclude: Sequence[types.EndpointId]
-    claim: queue_order.Claim
+    claim: queue_order.WaitingRequest
     event_interval_s: float = 0.0
     in_place: bool = False
 
--- a/rackpost/gateway/site.py
+++ b/rackpost/gateway/site.py
@@ -68,9 +68,9 @@
         self.table = endpoints.EndpointTable()
         self.suspects = crash_tracker_mod.CrashTracker(table=self.table)
         self.loads_changed = asyncio.Event()
-        self.loads = endpoint_load.LoadBook(changed=self.loads_changed.set)
+        self.loads = endpoint_load.LoadTable(on_change=self.loads_changed.set)
         self.room_changed = asyncio.Event()
-        self.health = endpoint_health.HealthBook()
+        self.health = endpoint_health.HealthTracker()
         self.pool = pool_mod.Pool(id_header=headers.REQUEST_ID)
         self.group = gateway_groups.Group(vm=host.vm)
         self.eligible = eligibility.Eligibility(table=self.table, rng=self.rng)
@@ -78,7 +78,7 @@
             candidates=candidates.Candidates(
                 table=self.table,
                 eligible=self.eligible,
-                silent_s=_SILENT_BEATS * host.heartbeat_ms / 1000.0,
+                silent_after_s=_SILENT_BEATS * host.heartbeat_ms / 1000.0,
                 group=self.group,
                 health=self.health,
             ),
@@ -87,9 +87,9 @@
             data_centre=host.data_centre,
             rng=self.rng,
         )
-        self.pace = token_timing_mod.Pace()
+        self.pace = token_timing_mod.TokenTiming()
         self.lengths = answer_lengths.AnswerLengths()
-        self.refused = recent_refusals_mod.RefusedBook()
+        self.refused = recent_refusals_mod.RefusalTable()
         self.room = admission_queue_mod.AdmissionQueue(
             chooser=self.chooser,
             loads=self.loads,
@@ -113,11 +113,13 @@
             metrics=self.metrics,
             rng=self.rng,
         )
-        self.quota_use = quota_use.UseBook(window_s=host.bounds.quota_window_s)
+        self.quota_use = quota_use.QuotaUseTracker(
+            window_s=host.bounds.quota_window_s
+        )
         self.gateways: dict[types.VmId, messages.GatewayAddress] = {}
         self.planned_stop = planned_stop.PlannedStop()
         self._told: set[types.VmId] = set()
-        self._lines: dict[types.ServiceName, plain_queue.Line] = {}
+        self._lines: dict[types.ServiceName, plain_queue.PlainQueue] = {}
         self._meters: dict[types.ServiceName, role_balance.DemandMeter] = {}
         self._budgets: dict[types.ServiceName, retry_budget.RetryBudget] = {}
 
@@ -174,7 +176,7 @@
         """
         since = self.loop_time() - _GATEWAY_SILENT_S
         for vm in set(self.gateways) - self._told - {self.host.vm}:
-            if not self.loads.heard_from(vm, since):
+            if not self.loads.received_since(vm, since):
                 del self.gateways[vm]
                 self._note_gateways()
                 self.loads.forget(vm)
@@ -205,9 +207,9 @@
             self._budgets[service] = found
         return found
 
-    def line(self, service: types.ServiceName) -> plain_queue.Line:
+    def line(self, service: types.ServiceName) -> plain_queue.PlainQueue:
         """Those that wait here for a plain service."""
-        return self._lines.setdefault(service, plain_queue.Line())
+        return self._lines.setdefault(service, plain_queue.PlainQueue())
 
     def meter(self, service: types.ServiceName) -> role_balance.DemandMeter:
         """What this gateway's clients ask of a model service."""
@@ -221,7 +223,7 @@
         """What they have asked lately, for each model service."""
         now = self.loop_time()
         return tuple(
-            meter.rate(service, now, self.pace)
+            meter.demand(service, now, self.pace)
             for service, meter in self._meters.items()
         )
 
@@ -230,8 +232,8 @@
         return max(2, service.max_connections * 9 // 10 // self.gateway_count)
 
 
-def _quota_terms(bounds: settings.Bounds) -> quota.Terms:
-    return quota.Terms(
+def _quota_terms(bounds: settings.Bounds) -> quota.QuotaSettings:
+    return quota.QuotaSettings(
         window_s=bounds.quota_window_s,
         overshoot=bounds.quota_overshoot,
         slack=bounds.quota_slack,
--- a/rackpost/platform/headers.py
+++ b/rackpost/platform/headers.py
@@ -119,15 +119,15 @@
     return message.find(head.headers, _LEAVING) == b"1"
 
 
-def named_rate(head: message.Head) -> endpoint_rates.Named:
+def named_rate(head: message.Head) -> endpoint_rates.AnswerRate:
     """The rate of requests that an endpoint's answer names."""
     told = [value for name, value in head.headers if name == _RATE]
     if not told:
-        return endpoint_rates.Named()
+        return endpoint_rates.AnswerRate()
     number = told[0].strip()
     if len(told) > 1 or not _DECIMAL.fullmatch(number):
-        return endpoint_rates.Named(unreadable=True)
-    return endpoint_rates.Named(per_s=float(number))
+        return endpoint_rates.AnswerRate(unreadable=True)
+    return endpoint_rates.AnswerRate(per_s=float(number))
 
 
 def own_prompt_part(headers: Sequence[message.Header]) -> bytes:
--- a/rackpost/testing/fleet.py
+++ b/rackpost/testing/fleet.py
@@ -180,7 +180,7 @@
             stream.first_at = now
         stream.events += 1
         stream.last_at = now
-        stream.progress.event()
+        stream.progress.record_event()
 
     def _make_room(self) -> None:
         while self._used > self._spec.memory:
@@ -213,9 +213,9 @@
         self.vm = types.VmId(f"g{number}")
         self.told = asyncio.Event()
         self.changed = asyncio.Event()
-        self.loads = endpoint_load.LoadBook(changed=self.told.set)
-        self.health = endpoint_health.HealthBook()
-        self.pace = token_timing_mod.Pace()
+        self.loads = endpoint_load.LoadTable(on_change=self.told.set)
+        self.health = endpoint_health.HealthTracker()
+        self.pace = token_timing_mod.TokenTiming()
         self.lengths = answer_lengths.AnswerLengths()
         self.number = 0
         rng = random.Random(number)
@@ -228,7 +228,7 @@
                 eligible=eligibility.Eligibility(
                     table=table, rng=random.Random(1)
                 ),
-                silent_s=math.inf,
+                silent_after_s=math.inf,
                 health=self.health,
             ),
             loads=self.loads,
@@ -247,18 +247,22 @@
             on_waiters_changed=self.told.set,
         )
         # As after a while of serving.
-        self.pace.took(1000, 1000 * spec.read_s)
+        self.pace.record_prefill(1000, 1000 * spec.read_s)
         made_s = spec.token_s + 8 * spec.token_each_s
-        self.pace.made(4000, 4000 * made_s)
+        self.pace.record_decode(4000, 4000 * made_s)
 
-    def uses(self) -> dict[types.EndpointId, endpoint_load.Use]:
+    def uses(self) -> dict[types.EndpointId, endpoint_load.EndpointLoad]:
         """Its figures, as they are told."""
         return {
-            key: endpoint_load.Use(
+            key: endpoint_load.EndpointLoad(
                 requests=use.requests,
-                prompt=use.prompt,
+                prompt_tokens=use.prompt_tokens,
                 runs=[
-                    kv_forecast.Run(size=run.size, left=run.left, off=run.off)
+                    kv_forecast.Run(
+                        held_tokens=run.held_tokens,
+                        remaining_tokens=run.remaining_tokens,
+                        error_tokens=run.error_tokens,
+                    )
                     for run in use.runs
                 ],
             )
@@ -365,8 +369,8 @@
         first = gateway.room.most_urgent_waiters(now)
         for other in self._gateways:
             if other is not gateway:
-                other.loads.take(
-                    gateway.vm, 1, gateway.number, uses, now, first=first
+                other.loads.receive(
+                    gateway.vm, 1, gateway.number, uses, now, waiting=first
                 )
                 other.changed.set()
 
@@ -399,7 +403,7 @@
         progress = kv_forecast.Progress(
             prompt=prompt,
             guess=gateway.lengths.expected(guess, spec.most_answer),
-            most=spec.most_answer,
+            max_tokens=spec.most_answer,
             event_tokens=spec.event,
             spread=gateway.lengths.spread,
         )
@@ -414,20 +418,20 @@
                 took = await self._readers[place.prefill_endpoint.id].read(
                     prompt
                 )
-                gateway.pace.took(prompt, took)
+                gateway.pace.record_prefill(prompt, took)
             place.record_prefilled()
             stream = _Stream(prompt=prompt, answer=answer, progress=progress)
             engine = self._engines[place.endpoint.id]
             if not engine.take(stream):
                 self.outcome.wasted += prompt
-                gateway.health.turned_away(
+                gateway.health.record_rejection(
                     place.endpoint.id, place.reserved_at
                 )
                 return False
             await stream.ended.wait()
         finally:
             place.release()
-        gateway.lengths.ended(guess=guess, made=answer)
+        gateway.lengths.record_answer(guess=guess, actual=answer)
         self._note(stream, began)
         return True
 
@@ -441,24 +445,24 @@
 
 def _wanted(
     spec: Spec,
-    pace: token_timing_mod.Pace,
+    pace: token_timing_mod.TokenTiming,
     run: kv_forecast.Run,
     began: float,
 ) -> reservation_mod.ReservationRequest:
-    start_s = pace.start_s(run.size)
+    start_s = pace.start_s(run.held_tokens)
     return reservation_mod.ReservationRequest(
         service=SERVICE,
         memory_tokens=spec.memory,
         run=run,
         exclude=(),
-        event_interval_s=pace.making_s(spec.event),
-        claim=queue_order.Claim(
+        event_interval_s=pace.decode_s(spec.event),
+        claim=queue_order.WaitingRequest(
             priority=1,
             target=began + spec.target_s,
             start_by=began + _PATIENCE * spec.target_s,
-            until=began + 14.0,
+            deadline=began + 14.0,
             start_s=start_s,
-            run_s=start_s + pace.making_s(run.left),
+            run_s=start_s + pace.decode_s(run.remaining_tokens),
         ),
     )
 
--- a/rackpost/testing/quota_world.py
+++ b/rackpost/testing/quota_world.py
@@ -15,7 +15,7 @@
 from rackpost import types
 
 ORGANISATION = types.OrganisationName("nord")
-TERMS = quota.Terms(window_s=8.0, overshoot=0.1, slack=120_000)
+TERMS = quota.QuotaSettings(window_s=8.0, overshoot=0.1, slack=120_000)
 QUOTA = model.Quota(
     rate_per_s=29_000, burst=29_000, by_tokens=True, plain_units=200
 )
@@ -41,7 +41,7 @@
     sender: int
     life: int
     to: int
-    told: quota.Told
+    told: quota.QuotaReport
 
 
 class World:
@@ -77,7 +77,7 @@
 
     def tell(self, sender: int, loss: float = 0.0) -> None:
         """A gateway tells all others what has changed."""
-        told = self.all[sender].tell(self.now)
+        told = self.all[sender].next_report(self.now)
         size = len(codec.encode(told))
         for other in range(len(self.all)):
             if other == sender:
@@ -97,7 +97,7 @@
         self._due = [item for item in self._due if item.at > self.now]
         for word in due:
             name = types.VmId(str(word.sender))
-            self.all[word.to].take(name, word.life, word.told, word.at)
+            self.all[word.to].receive(name, word.life, word.told, word.at)
 
     def ask(self, at: int, wanted: int) -> bool:
         """A request comes to a gateway; whether it passes."""
@@ -106,7 +106,7 @@
         if one.check(_ITEM, wanted, self.now) is not None:
             return False
         one.admit(ORGANISATION, wanted, self.now)
-        one.sent(ORGANISATION, wanted, self.now)
+        one.record_sent(ORGANISATION, wanted, self.now)
         self.passed.append((self.now, wanted))
         return True
 
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -212,10 +212,12 @@
         table = endpoints.EndpointTable()
         table.update(ENDPOINT, 0.0)
         self._eligible = eligibility.Eligibility(table=table, rng=world.rng)
-        self._eligible.rates.answered(
-            ENDPOINT, endpoint_rates.Named(per_s=world.spec.rate), world.now()
+        self._eligible.rates.record_answer(
+            ENDPOINT,
+            endpoint_rates.AnswerRate(per_s=world.spec.rate),
+            world.now(),
         )
-        self._loads = endpoint_load.LoadBook(changed=lambda: None)
+        self._loads = endpoint_load.LoadTable(on_change=lambda: None)
         self._number = 0
         self._life = world.rng.getrandbits(32)
         self._grants = rate_grants.RateGrants(
@@ -238,9 +240,9 @@
     async def may_send(self) -> bool:
         """Whether a grant was had."""
         now = self._world.now()
-        if not self._eligible.may_begin(ENDPOINT, now):
+        if not self._eligible.may_select(ENDPOINT, now):
             return False
-        self._eligible.chose(ENDPOINT, now)
+        self._eligible.record_selection(ENDPOINT, now)
         try:
             async with self._grants.acquire(
                 ENDPOINT, priority=2, waits=self._world.spec.waits
@@ -255,7 +257,7 @@
         msg = _DECODER.decode(data)
         if isinstance(msg, messages.GatewayLoad):
             now = self._world.now()
-            self._loads.take(msg.vm, msg.incarnation, msg.sequence, {}, now)
+            self._loads.receive(msg.vm, msg.incarnation, msg.sequence, {}, now)
         else:
             self._grants.receive(msg, sender)
 
--- a/spec/quarantine.py
+++ b/spec/quarantine.py
@@ -56,8 +56,8 @@
 def _is_held(lives: frozenset[int]) -> bool:
     """Whether a book with these lives holds the request back."""
     book = quarantine.Quarantine()
-    book.take([_suspicion(life) for life in lives], 0.0)
-    return book.is_held(_REQUEST, 1.0)
+    book.add([_suspicion(life) for life in lives], 0.0)
+    return book.is_quarantined(_REQUEST, 1.0)
 
 
 def _suspicion(life: int) -> quarantine.Suspicion:
@@ -133,7 +133,11 @@
     def _pass_on(self, gateways: tuple, books: tuple) -> tuple:
         """All gateways are told of a request with two lives or more."""
         known: frozenset[int] = frozenset().union(
-            *(book for book in books if len(book) >= quarantine.LEAST_TOLD)
+            *(
+                book
+                for book in books
+                if len(book) >= quarantine.MIN_ENDED_TO_REPORT
+            )
         )
         return tuple(book | known for book in gateways)
 
@@ -141,7 +145,7 @@
         if self.fault == "no-disk":
             return disks
         return tuple(
-            book if len(book) >= quarantine.LEAST_TOLD else disk
+            book if len(book) >= quarantine.MIN_ENDED_TO_REPORT else disk
             for disk, book in zip(disks, books, strict=True)
         )
 
@@ -210,7 +214,7 @@
 
 def _is_bounded(now: dict) -> bool:
     """No more endpoints end than without losses, and what these cost."""
-    return now["ended"] <= quarantine.MOST_ENDED + now["cost"]
+    return now["ended"] <= quarantine.MIN_ENDED_TO_QUARANTINE + now["cost"]
 
 
 def _is_agreed(now: dict) -> bool:
--- a/tests/crashing_site.py
+++ b/tests/crashing_site.py
@@ -179,7 +179,7 @@
             await platform_site.until(
                 lambda: site.version > 0
                 and idents == set(site.table.alive)
-                and not site.health.broken(site.loop_time())
+                and not site.health.failed_endpoints(site.loop_time())
             )
 
     def now(self) -> float:
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -32,21 +32,21 @@
         self.publish_due = asyncio.Event()
         self.changed = asyncio.Event()
         self.table = endpoints.EndpointTable()
-        self.loads = endpoint_load.LoadBook(changed=self.publish_due.set)
-        self.health = endpoint_health.HealthBook()
+        self.loads = endpoint_load.LoadTable(on_change=self.publish_due.set)
+        self.health = endpoint_health.HealthTracker()
         self.sent = 0
         rng = random.Random(number)
         self.eligible = eligibility.Eligibility(
             table=self.table, rng=random.Random(1)
         )
-        known = token_timing.Pace()
-        known.made(100, 3.0)
+        known = token_timing.TokenTiming()
+        known.record_decode(100, 3.0)
         self.queue = admission_queue.AdmissionQueue(
             chooser=endpoint_choice.Chooser(
                 candidates=candidates.Candidates(
                     table=self.table,
                     eligible=self.eligible,
-                    silent_s=1e9,
+                    silent_after_s=1e9,
                     health=self.health,
                 ),
                 loads=self.loads,
@@ -109,22 +109,22 @@
             gateway.sent += 1
             now = loop.time()
             uses = {
-                key: endpoint_load.Use(
+                key: endpoint_load.EndpointLoad(
                     requests=use.requests,
-                    prompt=use.prompt,
+                    prompt_tokens=use.prompt_tokens,
                     runs=list(use.runs),
                 )
                 for key, use in gateway.loads.own.items()
             }
             for other in self.gateways:
                 if other is not gateway:
-                    other.loads.take(
+                    other.loads.receive(
                         gateway.vm,
                         1,
                         gateway.sent,
                         uses,
                         now,
-                        first=gateway.queue.most_urgent_waiters(now),
+                        waiting=gateway.queue.most_urgent_waiters(now),
                     )
                     other.changed.set()
 
@@ -135,14 +135,14 @@
         place = await gateway.queue.reserve(needs)
         if isinstance(place, reservation_mod.DecodeReservation):
             await asyncio.sleep(_READ_S)
-            gateway.queue._pace.took(needs.run.size, _READ_S)
+            gateway.queue._pace.record_prefill(needs.run.held_tokens, _READ_S)
             place.record_prefilled()
         return place
 
     def requests_at(self, number: int) -> int:
         key = types.EndpointId(f"d{number}")
         return sum(
-            gateway.loads.own.get(key, endpoint_load.Use()).requests
+            gateway.loads.own.get(key, endpoint_load.EndpointLoad()).requests
             for gateway in self.gateways
         )
 
@@ -157,16 +157,16 @@
     return reservation_mod.ReservationRequest(
         service=SERVICE,
         memory_tokens=100_000,
-        run=kv_forecast.Run(size=1000, left=1000),
+        run=kv_forecast.Run(held_tokens=1000, remaining_tokens=1000),
         exclude=(),
-        claim=queue_order.Claim(
+        claim=queue_order.WaitingRequest(
             priority=1,
             target=now + left_s,
             start_by=now + 60.0,
-            until=now + 120.0,
+            deadline=now + 120.0,
             start_s=0.1,
             run_s=3.0,
-            came_back=True,
+            refused_before=True,
         ),
     )
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -314,7 +314,7 @@
                     await site.ask(here, "/safe/x", b"")
                 other = site.gateways[there].site
                 await platform_site.until(
-                    lambda: other.health.others_wait(
+                    lambda: other.health.has_reported_backoff(
                         one.ident, other.loop_time()
                     )
                 )
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -158,7 +158,7 @@
                 assert site.crashes == _MOST_CRASHES
                 held = [
                     item.request
-                    for item in site.core_books()[0].held(site.now())
+                    for item in site.core_books()[0].quarantined(site.now())
                 ]
                 assert len(held) == 1
                 refused = await site.ask(31, "/gen/x", b"crash run")
@@ -222,7 +222,7 @@
                 assert await site.release(held[0]) == 404
                 await platform_site.until(
                     lambda: not any(
-                        item.site.suspects.book.held(site.now())
+                        item.site.suspects.book.quarantined(site.now())
                         for item in site.gateways.values()
                     )
                 )
--- a/tests/test_endpoint_rates.py
+++ b/tests/test_endpoint_rates.py
@@ -7,11 +7,11 @@
 from rackpost.platform import headers
 from tests import test_eligibility
 
-NONE = endpoint_rates.Named()
+NONE = endpoint_rates.AnswerRate()
 
 
-def rate(per_s: float) -> endpoint_rates.Named:
-    return endpoint_rates.Named(per_s=per_s)
+def rate(per_s: float) -> endpoint_rates.AnswerRate:
+    return endpoint_rates.AnswerRate(per_s=per_s)
 
 
 def answer(*told: bytes, status: int = 200) -> message.Head:
@@ -53,11 +53,11 @@
     """A book, and an endpoint whose answers it notes."""
 
     def __init__(self) -> None:
-        self.book = endpoint_rates.RateBook()
+        self.book = endpoint_rates.RateTable()
         self.one = test_eligibility.endpoint("a", born=1)
 
-    def answers(self, named: endpoint_rates.Named, now: float) -> bool:
-        return self.book.answered(self.one, named, now)
+    def answers(self, named: endpoint_rates.AnswerRate, now: float) -> bool:
+        return self.book.record_answer(self.one, named, now)
 
     @property
     def per_s(self) -> float | None:
@@ -65,8 +65,8 @@
 
     def told(
         self, per_s: float | None, age_s: float = 0.0
-    ) -> endpoint_rates.Told:
-        return endpoint_rates.Told(
+    ) -> endpoint_rates.RateUpdate:
+        return endpoint_rates.RateUpdate(
             endpoint=self.one.id, born=1, per_s=per_s, age_s=age_s
         )
 
@@ -87,11 +87,11 @@
     known.answers(rate(3.0), 1.0)
     for at in range(10):
         assert not known.answers(
-            endpoint_rates.Named(unreadable=True), 2.0 + at
+            endpoint_rates.AnswerRate(unreadable=True), 2.0 + at
         )
     assert known.per_s == 3.0
-    assert known.book.is_first_unreadable(known.one)
-    assert not known.book.is_first_unreadable(known.one)
+    assert known.book.record_unreadable(known.one)
+    assert not known.book.record_unreadable(known.one)
 
 
 def test_one_answer_without_a_rate_is_not_its_end() -> None:
@@ -131,50 +131,50 @@
     known.answers(rate(3.0), 1.0)
     reborn = test_eligibility.endpoint("a", born=2)
     assert known.book.per_s(reborn) is None
-    known.book.keep({reborn.incarnation})
-    assert known.book.known == ()
+    known.book.retain({reborn.incarnation})
+    assert known.book.incarnations == ()
 
 
 def test_of_what_others_tell_the_later_word_holds() -> None:
     known, other = Known(), Known()
     known.answers(rate(3.0), 10.0)
-    (told,) = known.book.tell(10.5)
+    (told,) = known.book.next_updates(10.5)
     assert told.age_s == 0.5
     # By another clock: readings are not compared, ages are.
-    assert other.book.told(told, 500.0)
+    assert other.book.receive(told, 500.0)
     assert other.per_s == 3.0
-    assert not other.book.told(told, 500.0)
+    assert not other.book.receive(told, 500.0)
     other.answers(rate(6.0), 500.2)
     older = known.told(3.0, age_s=0.9)
-    assert not other.book.told(older, 500.3)
+    assert not other.book.receive(older, 500.3)
     assert other.per_s == 6.0
-    assert other.book.told(known.told(None), 500.4)
+    assert other.book.receive(known.told(None), 500.4)
     assert other.per_s is None
 
 
 def test_a_word_of_the_end_of_what_is_not_known_is_no_news() -> None:
     known = Known()
-    assert not known.book.told(known.told(None), 1.0)
-    assert known.book.known == ()
+    assert not known.book.receive(known.told(None), 1.0)
+    assert known.book.incarnations == ()
 
 
 def test_a_change_is_told_at_once_and_all_of_it_now_and_then() -> None:
     known = Known()
-    assert known.book.tell(0.0) == ()
+    assert known.book.next_updates(0.0) == ()
     known.answers(rate(3.0), 0.1)
-    assert known.book.tell(0.2) == (known.told(3.0, age_s=0.1),)
+    assert known.book.next_updates(0.2) == (known.told(3.0, age_s=0.1),)
     known.answers(rate(3.0), 0.3)
-    assert known.book.tell(0.4) == ()
-    assert known.book.tell(1.3) == (known.told(3.0, age_s=1.0),)
+    assert known.book.next_updates(0.4) == ()
+    assert known.book.next_updates(1.3) == (known.told(3.0, age_s=1.0),)
     for _ in range(3):
         known.answers(NONE, 1.4)
-    assert known.book.tell(1.4) == (known.told(None),)
+    assert known.book.next_updates(1.4) == (known.told(None),)
 
 
 def test_of_thousands_not_more_is_told_than_a_datagram_carries() -> None:
-    book = endpoint_rates.RateBook()
+    book = endpoint_rates.RateTable()
     for number in range(2000):
         one = test_eligibility.endpoint(f"e{number}", born=1)
-        book.answered(one, rate(3.0), 1.0)
-    assert len(book.tell(1.0)) < 100
-    assert len(book.tell(9.0)) < 100
+        book.record_answer(one, rate(3.0), 1.0)
+    assert len(book.next_updates(1.0)) < 100
+    assert len(book.next_updates(9.0)) < 100
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 21, 68, 96])
 def test_some_gateways_share_all_endpoints(gateways: int) -> None:
-    assert gateway_groups.count(gateways) == 1
+    assert gateway_groups.group_count(gateways) == 1
 
 
 @pytest.mark.parametrize("gateways", [97, 285, 370, 1000])
@@ -32,9 +32,10 @@
     gateways: int,
 ) -> None:
     """So do the messages that a gateway sends and takes."""
-    count = gateway_groups.count(gateways)
+    count = gateway_groups.group_count(gateways)
     sizes = collections.Counter(
-        gateway_groups.of(name, count) for name in names("edge", gateways)
+        gateway_groups.group_of(name, count)
+        for name in names("edge", gateways)
     )
     assert len(sizes) == count
     assert max(sizes.values()) <= 90
@@ -44,7 +45,7 @@
 def test_little_moves_when_there_is_one_group_more() -> None:
     found = names("i", 3000)
     moved = sum(
-        gateway_groups.of(name, 5) != gateway_groups.of(name, 6)
+        gateway_groups.group_of(name, 5) != gateway_groups.group_of(name, 6)
         for name in found
     )
     assert moved < 0.25 * len(found)
@@ -75,12 +76,12 @@
             eligible=eligibility.Eligibility(
                 table=table, rng=random.Random(1)
             ),
-            silent_s=99.0,
+            silent_after_s=99.0,
             group=group,
-            health=endpoint_health.HealthBook(),
+            health=endpoint_health.HealthTracker(),
         ),
-        loads=endpoint_load.LoadBook(changed=lambda: None),
-        health=endpoint_health.HealthBook(),
+        loads=endpoint_load.LoadTable(on_change=lambda: None),
+        health=endpoint_health.HealthTracker(),
         data_centre=types.DataCentre("a"),
         rng=random.Random(1),
     )
@@ -98,7 +99,7 @@
     found = [endpoint(n, types.Role.DECODE) for n in names("i", 600)]
     by_group: dict[int, set[str]] = {}
     for vm in names("edge", 285):
-        number = gateway_groups.of(vm, gateway_groups.count(285))
+        number = gateway_groups.group_of(vm, gateway_groups.group_count(285))
         mine = chosen_from(vm, 285, found, types.Role.DECODE)
         assert by_group.setdefault(number, mine) == mine
         assert 80 < len(mine) < 170
@@ -119,5 +120,7 @@
     one = chooser("edge-1", 285, found)
     mine = one.candidates.find(_SERVICE, types.Role.DECODE, now=0.1)
     but = [item.id for item in mine[:-1]]
-    left = one.candidates.find(_SERVICE, types.Role.DECODE, but=but, now=0.1)
+    left = one.candidates.find(
+        _SERVICE, types.Role.DECODE, exclude=but, now=0.1
+    )
     assert left == mine[-1:]
--- a/tests/test_gateway_prompts.py
+++ b/tests/test_gateway_prompts.py
@@ -76,7 +76,7 @@
         async with platform_site.small_site(tmp_path) as site:
             site.prefill.answer = test_gateway.shed
             # Nothing is remembered of the rejections but the budget.
-            site.gateway.site.health.turned_away = (  # type: ignore
+            site.gateway.site.health.record_rejection = (  # type: ignore
                 lambda endpoint, now: None
             )
             for number in range(80):
@@ -108,8 +108,8 @@
 
             async def reads(ident: str) -> int:
                 now = gateway.loop_time()
-                while budget.left(now, 1) >= 0.5:
-                    budget.repeat(now)
+                while budget.remaining(now, 1) >= 0.5:
+                    budget.record_retry(now)
                 got = await site.raw(test_gateway.generation(ident=ident))
                 assert test_gateway.status(got) == 200
                 return sum(
@@ -120,7 +120,7 @@
             assert await reads("r2") == 2
             # Another gateway was turned away: it may be so for all.
             key = types.EndpointId(site.prefill.ident)
-            gateway.health.told_full(key, gateway.loop_time() - 1.0)
+            gateway.health.record_reported_full(key, gateway.loop_time() - 1.0)
             assert await reads("r3") == 2
 
     asyncio.run(main())
@@ -137,7 +137,7 @@
             budget = gateway.budget(types.ServiceName("model"))
             now = gateway.loop_time()
             for _ in range(100):
-                budget.repeat(now)
+                budget.record_retry(now)
             got = await site.raw(test_gateway.generation())
             assert test_gateway.status(got) == 200
             assert site.prefill.requests == []
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -89,11 +89,11 @@
             nonlocal count
             count += 1
 
-        loads = endpoint_load.LoadBook(changed=changed)
+        loads = endpoint_load.LoadTable(on_change=changed)
         for number in range(gateways - 1):
-            loads.take(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
+            loads.receive(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
         for _ in range(10):
-            loads.hold(types.EndpointId("p"))()
+            loads.add_request(types.EndpointId("p"))()
         return count
 
     assert told(68) == 0
@@ -103,22 +103,22 @@
 def test_some_gateways_tell_each_request_of_a_plain_service() -> None:
     """At twenty gateways that costs little, and samples are old figures."""
     told = []
-    loads = endpoint_load.LoadBook(changed=lambda: told.append(True))
+    loads = endpoint_load.LoadTable(on_change=lambda: told.append(True))
     for number in range(19):
-        loads.take(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
-    loads.hold(types.EndpointId("p"))()
+        loads.receive(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
+    loads.add_request(types.EndpointId("p"))()
     assert len(told) == 2
 
 
 def test_many_gateways_tell_each_generation() -> None:
     """Its memory is given away by all of them."""
     told = []
-    loads = endpoint_load.LoadBook(changed=lambda: told.append(True))
+    loads = endpoint_load.LoadTable(on_change=lambda: told.append(True))
     for number in range(67):
-        loads.take(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
-    run = kv_forecast.Run(size=10, left=10)
-    loads.hold(types.EndpointId("d"), run=run)()
-    loads.hold(types.EndpointId("p"), prompt=10)()
+        loads.receive(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
+    run = kv_forecast.Run(held_tokens=10, remaining_tokens=10)
+    loads.add_request(types.EndpointId("d"), run=run)()
+    loads.add_request(types.EndpointId("p"), prompt=10)()
     assert len(told) == 4
 
 
