--- a/tests/test_plain_crowd.py
+++ b/tests/test_plain_crowd.py
@@ -45,8 +45,8 @@
         self.vm = types.VmId(f"g{number}")
         self.told = 0
         self.tells = True
-        self.health = endpoint_health.HealthBook()
-        self.loads = endpoint_load.LoadBook(changed=lambda: None)
+        self.health = endpoint_health.HealthTracker()
+        self.loads = endpoint_load.LoadTable(on_change=lambda: None)
         table = endpoints.EndpointTable()
         for name in range(_ENDPOINTS):
             table.update(
@@ -68,7 +68,7 @@
             candidates=candidates.Candidates(
                 table=table,
                 eligible=self.eligible,
-                silent_s=math.inf,
+                silent_after_s=math.inf,
                 health=self.health,
             ),
             loads=self.loads,
@@ -81,17 +81,17 @@
     def tell(self, others: list["Gateway"], now: float) -> None:
         """Tell the others what is under way now."""
         self.told += 1
-        asked = self.eligible.backoffs_left(now)
+        asked = self.eligible.remaining_backoffs(now)
         uses = {
-            key: endpoint_load.Use(requests=use.requests)
+            key: endpoint_load.EndpointLoad(requests=use.requests)
             for key, use in self.loads.own.items()
         }
         for other in others:
             if other is not self:
-                other.loads.take(self.vm, 1, self.told, uses, now)
+                other.loads.receive(self.vm, 1, self.told, uses, now)
                 for key, left_s in asked.items():
                     if self.tells:
-                        other.health.told_backoff(key, left_s, now)
+                        other.health.record_reported_backoff(key, left_s, now)
 
 
 class Due(NamedTuple):
@@ -169,7 +169,7 @@
         if chosen is None:
             self.refused += 1
             return
-        release = gateway.loads.hold(chosen.id)
+        release = gateway.loads.add_request(chosen.id)
         queue = self._queues.setdefault(chosen.id, collections.deque())
         queue.append((now, gateway, release))
         self._work(now, chosen.id)
@@ -180,7 +180,9 @@
         """The endpoint that takes a request, past those that do not."""
         tried: list[types.EndpointId] = []
         while True:
-            chosen = gateway.chooser.plain(SERVICE, but=tried, now=now)
+            chosen = gateway.chooser.choose_plain(
+                SERVICE, exclude=tried, now=now
+            )
             if chosen is None or not self._turns_away(chosen, now):
                 return chosen
             tried.append(chosen.id)
@@ -193,25 +195,27 @@
         self, gateway: Gateway, chosen: endpoints.Endpoint, now: float
     ) -> None:
         self.turned_away += 1
-        said = eligibility.Said(
-            backoff_s=_ASKED_S, leaving=False, turned_away=True
+        said = eligibility.EndpointFeedback(
+            backoff_s=_ASKED_S, leaving=False, rejected=True
         )
-        gateway.eligible.answered(chosen, said, now)
-        gateway.health.turned_away(chosen.id, now)
+        gateway.eligible.record_feedback(chosen, said, now)
+        gateway.health.record_rejection(chosen.id, now)
         for other in self._gateways:
             if other is not gateway:
-                other.health.told_full(chosen.id, now)
+                other.health.record_reported_full(chosen.id, now)
                 if self._tells:
-                    other.health.told_backoff(chosen.id, _ASKED_S, now)
+                    other.health.record_reported_backoff(
+                        chosen.id, _ASKED_S, now
+                    )
 
     def _note_lost(self, gateway: Gateway, endpoint: str, now: float) -> None:
         """A gateway sees that an answer is lost, and tells the others."""
         self.lost += 1
         key = types.EndpointId(endpoint)
-        gateway.health.broke(key, now)
+        gateway.health.record_failure(key, now)
         for other in self._gateways:
             if other is not gateway:
-                other.health.told(key, now)
+                other.health.record_reported_failure(key, now)
 
     @property
     def late(self) -> int:
@@ -231,7 +235,7 @@
         if endpoint in self._losing and self._rng.random() < self._loses:
             self._note_lost(gateway, endpoint, now)
         else:
-            gateway.health.answered(endpoint, now - asked_at)
+            gateway.health.record_answer(endpoint, now - asked_at)
             self.took.append(now - asked_at)
         self._working[endpoint] -= 1
         self._work(now, endpoint)
--- a/tests/test_plain_overload.py
+++ b/tests/test_plain_overload.py
@@ -73,17 +73,17 @@
             slots=_SLOTS,
             work_s=_WORK_S,
             target_s=_TARGET_S,
-            left_s=_PATIENCE_S - (now - ask.first),
-            came_back=ask.came_back,
+            remaining_s=_PATIENCE_S - (now - ask.first),
+            refused_before=ask.came_back,
         )
         full = len(self._queue) >= _QUEUE
-        if not full and not admission.should_come_back(arrival):
+        if not full and not admission.should_refuse(arrival):
             self._queue.append(ask)
             self._work(now)
         elif ask.came_back:
             self.refused += 1
         else:
-            after = admission.come_back_s(arrival, self._rng.random())
+            after = admission.retry_after_s(arrival, self._rng.random())
             self._add(now + after, "ask", Ask(ask.first, now + after))
 
     def _work(self, now: float) -> None:
--- a/tests/test_plain_queue.py
+++ b/tests/test_plain_queue.py
@@ -17,14 +17,18 @@
 from rackpost.testing import virtual
 from tests import test_admission_queue
 
-LATE = plain_queue.Rank(priority=3, until=1.0)
-URGENT = plain_queue.Rank(priority=1, until=2.0)
-MORE_URGENT = plain_queue.Rank(priority=1, until=1.0)
+LATE = plain_queue.Rank(priority=3, deadline=1.0)
+URGENT = plain_queue.Rank(priority=1, deadline=2.0)
+MORE_URGENT = plain_queue.Rank(priority=1, deadline=1.0)
 
 
 def wait_s(ahead: int, *, opens_s: float = 0.0, per_s: float | None) -> float:
-    return plain_queue.wait_s(
-        ahead=ahead, count=2, answer_s=0.1, opens_s=opens_s, per_s=per_s
+    return plain_queue.expected_wait_s(
+        ahead=ahead,
+        count=2,
+        answer_s=0.1,
+        available_in_s=opens_s,
+        rate_per_s=per_s,
     )
 
 
@@ -44,27 +48,27 @@
 
 
 def test_the_most_urgent_looks_first() -> None:
-    line = plain_queue.Line()
-    with line.waiting(LATE) as late, line.waiting(URGENT) as urgent:
+    line = plain_queue.PlainQueue()
+    with line.join(LATE) as late, line.join(URGENT) as urgent:
         assert line.ahead(LATE) == 1 and line.ahead(URGENT) == 0
-        assert line.may_look(urgent.rank, 1.0)
-        assert not line.may_look(late.rank, 1.0)
+        assert line.may_check(urgent.rank, 1.0)
+        assert not line.may_check(late.rank, 1.0)
         # One that comes new goes by the same order.
-        assert line.may_look(MORE_URGENT, 1.0)
+        assert line.may_check(MORE_URGENT, 1.0)
         # It has looked, and looks again later: others need not wait for it.
-        urgent.looks_at = 1.2
-        assert line.may_look(late.rank, 1.1)
-        assert not line.may_look(late.rank, 1.2)
-    assert line.may_look(LATE, 1.5)
+        urgent.next_check_at = 1.2
+        assert line.may_check(late.rank, 1.1)
+        assert not line.may_check(late.rank, 1.2)
+    assert line.may_check(LATE, 1.5)
 
 
 def test_who_is_refused_comes_back_in_the_order_of_refusal() -> None:
-    line = plain_queue.Line()
-    with line.waiting(URGENT):
+    line = plain_queue.PlainQueue()
+    with line.join(URGENT):
         # After the one that waits.
-        turns = [line.turn_s(1.0, 2.0, 10.0) for _ in range(3)]
+        turns = [line.retry_after_s(1.0, 2.0, 10.0) for _ in range(3)]
     assert turns == [1.5, 2.0, 2.5]
-    assert line.turn_s(0.0, 2.0, 100.0) == 0.0
+    assert line.retry_after_s(0.0, 2.0, 100.0) == 0.0
 
 
 def _wanted(now: float, left_s: float) -> reservation_mod.ReservationRequest:
@@ -116,12 +120,14 @@
         for number in range(2):
             gateway.add_endpoint(number)
             key = f"d{number}"
-            named = endpoint_rates.Named(per_s=2.0)
-            gateway.eligible.rates.answered(
+            named = endpoint_rates.AnswerRate(per_s=2.0)
+            gateway.eligible.rates.record_answer(
                 gateway.table.alive[key], named, 0.0
             )
             # The owner has said when the next may be asked for.
-            gateway.eligible.gate.unanswered(gateway.table.alive[key], 0.0)
+            gateway.eligible.gate.record_no_answer(
+                gateway.table.alive[key], 0.0
+            )
         tasks = await _crowd(group, 100, 3.0)
         refused = _refused(tasks)
         assert 85 <= len(refused) <= 90
@@ -142,7 +148,7 @@
         for number in range(2):
             gateway.add_endpoint(number)
             endpoint = gateway.table.alive[f"d{number}"]
-            gateway.eligible.backoffs.asked(endpoint, 3.0, 0.0)
+            gateway.eligible.backoffs.record_backoff(endpoint, 3.0, 0.0)
         tasks = await _crowd(group, 60, 3.45)
         refused = _refused(tasks)
         assert 46 <= len(refused) <= 50
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -115,6 +115,6 @@
                 got = await site.raw(test_gateway.request(path))
                 assert test_gateway.status(got) == 503
             here = site.gateway.site
-            assert not here.health.broken(here.loop_time())
+            assert not here.health.failed_endpoints(here.loop_time())
 
     asyncio.run(main())
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -35,32 +35,32 @@
 
 def _book(*items: quarantine.Suspicion) -> quarantine.Quarantine:
     found = quarantine.Quarantine()
-    found.take(items, 0.0)
+    found.add(items, 0.0)
     return found
 
 
 def test_three_different_lives_hold_a_request_back() -> None:
     book = _book(_ended(_BAD, 1), _ended(_BAD, 2), _ended(_BAD, 2))
-    assert not book.is_held(_BAD, 0.0)
+    assert not book.is_quarantined(_BAD, 0.0)
     # Another life of the same endpoint.
     again = quarantine.Suspicion(
         request=_BAD, endpoint=types.EndpointId("e2"), born=5
     )
-    assert book.take([again], 1.0) == {_BAD}
-    assert book.is_held(_BAD, 1.0)
-    assert not book.is_held(_OTHER, 1.0)
+    assert book.add([again], 1.0) == {_BAD}
+    assert book.is_quarantined(_BAD, 1.0)
+    assert not book.is_quarantined(_OTHER, 1.0)
 
 
 def test_it_is_tried_again_after_an_hour_and_held_back_at_the_next_end() -> (
     None
 ):
     book = _book(*(_ended(_BAD, number) for number in range(3)))
-    assert book.is_held(_BAD, quarantine.HOLD_S - 1)
-    assert not book.is_held(_BAD, quarantine.HOLD_S + 1)
-    at = quarantine.HOLD_S + 2
-    book.take([_ended(_BAD, 9)], at)
-    assert book.is_held(_BAD, at + 1)
-    book.forget(at + 30 * quarantine.HOLD_S)
+    assert book.is_quarantined(_BAD, quarantine.QUARANTINE_S - 1)
+    assert not book.is_quarantined(_BAD, quarantine.QUARANTINE_S + 1)
+    at = quarantine.QUARANTINE_S + 2
+    book.add([_ended(_BAD, 9)], at)
+    assert book.is_quarantined(_BAD, at + 1)
+    book.forget(at + 30 * quarantine.QUARANTINE_S)
     assert len(book) == 0
 
 
@@ -69,16 +69,16 @@
     items = [_ended(_BAD, number) for number in range(3)]
     items += [_ended(_INNOCENT, n, ran_ms=900) for n in range(3)]
     book = _book(*items)
-    assert book.is_held(_BAD, 0.0)
-    assert not book.is_held(_INNOCENT, 0.0)
+    assert book.is_quarantined(_BAD, 0.0)
+    assert not book.is_quarantined(_INNOCENT, 0.0)
 
 
 def test_two_that_end_endpoints_are_held_back_though_they_met() -> None:
     items = [_ended(_BAD, number) for number in range(3)]
     items += [_ended(_OTHER, number) for number in (2, 3, 4)]
     book = _book(*items)
-    assert book.is_held(_BAD, 0.0)
-    assert book.is_held(_OTHER, 0.0)
+    assert book.is_quarantined(_BAD, 0.0)
+    assert book.is_quarantined(_OTHER, 0.0)
 
 
 def test_two_that_met_each_time_end_two_more_each_at_most() -> None:
@@ -88,12 +88,12 @@
     book = _book(*items)
     for number in range(3, 20):
         request = (_BAD, _OTHER)[number % 2]
-        if not book.is_held(request, number):
-            book.take([_ended(request, number)], number)
-    assert book.is_held(_BAD, 20.0)
-    assert book.is_held(_OTHER, 20.0)
-    assert len(book.ended(_BAD)) <= 5
-    assert len(book.ended(_OTHER)) <= 5
+        if not book.is_quarantined(request, number):
+            book.add([_ended(request, number)], number)
+    assert book.is_quarantined(_BAD, 20.0)
+    assert book.is_quarantined(_OTHER, 20.0)
+    assert len(book.ended_endpoints(_BAD)) <= 5
+    assert len(book.ended_endpoints(_OTHER)) <= 5
 
 
 @hypothesis.given(strategies.data())
@@ -112,11 +112,11 @@
     told = data.draw(strategies.lists(one, max_size=12))
     other = data.draw(strategies.permutations(told + told))
     books = [quarantine.Quarantine(), quarantine.Quarantine()]
-    books[0].take(told, 0.0)
+    books[0].add(told, 0.0)
     for item in other:
-        books[1].take([item], 0.0)
+        books[1].add([item], 0.0)
     for request in (_BAD, _OTHER, _INNOCENT):
-        held = {book.is_held(request, 1.0) for book in books}
+        held = {book.is_quarantined(request, 1.0) for book in books}
         assert len(held) == 1
 
 
@@ -124,20 +124,20 @@
     book = quarantine.Quarantine()
     bad = [types.Fingerprint(b"%16d" % n) for n in range(1000)]
     for at, request in enumerate(bad):
-        book.take([_ended(request, 3 * at + n) for n in range(3)], at)
+        book.add([_ended(request, 3 * at + n) for n in range(3)], at)
     for number in range(20_000):
         single = types.Fingerprint(b"s%15d" % number)
-        book.take([_ended(single, number)], 2000.0)
+        book.add([_ended(single, number)], 2000.0)
     assert len(book) <= 4096
-    assert all(book.is_held(request, 2000.0) for request in bad)
+    assert all(book.is_quarantined(request, 2000.0) for request in bad)
     # A gateway that has just started takes it all in one message.
-    msg = messages.Suspicions(items=book.known(2))
+    msg = messages.Suspicions(items=book.suspicions(2))
     data = codec.encode(msg)
     assert len(data) < 200_000
     decoded = codec.Decoder(kinds=messages.Suspicions).decode(data)
     fresh = quarantine.Quarantine()
-    fresh.take(decoded.items, 0.0)
-    assert all(fresh.is_held(request, 0.0) for request in bad)
+    fresh.add(decoded.items, 0.0)
+    assert all(fresh.is_quarantined(request, 0.0) for request in bad)
 
 
 class _Gateway:
@@ -266,10 +266,10 @@
                 broken = [at]
                 while len(broken) < tries and rng.random() < 0.16:
                     broken.append(rng.randrange(len(lives)))
-                book.take(
+                book.add(
                     [_ended(request, lives[one]) for one in broken], second
                 )
-                held += book.is_held(request, second)
+                held += book.is_quarantined(request, second)
         for at in bad:
             life += 1
             lives[at] = life
@@ -290,9 +290,9 @@
 
 def test_who_ran_beside_it_is_forgotten_after_an_hour() -> None:
     book = _book(*(_ended(_BAD, number) for number in range(3)))
-    book.take([_ended(_INNOCENT, 1), _ended(_OTHER, 1)], 0.0)
-    book.take(book.cleared(_OTHER), 1.0)
-    book.forget(quarantine.HOLD_S + 1)
+    book.add([_ended(_INNOCENT, 1), _ended(_OTHER, 1)], 0.0)
+    book.add(book.clearances(_OTHER), 1.0)
+    book.forget(quarantine.QUARANTINE_S + 1)
     assert len(book) == 1
-    book.take([_ended(_BAD, 9)], quarantine.HOLD_S + 2)
-    assert book.is_held(_BAD, quarantine.HOLD_S + 3)
+    book.add([_ended(_BAD, 9)], quarantine.QUARANTINE_S + 2)
+    assert book.is_quarantined(_BAD, quarantine.QUARANTINE_S + 3)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -34,12 +34,12 @@
 
 def admit(
     found: quota.Quotas, now: float, wanted: int = _STREAM
-) -> quota.Refused | None:
+) -> quota.OverQuota | None:
     """Ask, and send what may pass."""
     refused = found.check(_ORGANISATION, wanted, now)
     if refused is None:
         found.admit(_NORD, wanted, now)
-        found.sent(_NORD, wanted, now)
+        found.record_sent(_NORD, wanted, now)
     return refused
 
 
@@ -52,10 +52,10 @@
 
 
 def test_what_a_request_counts() -> None:
-    assert quota.units(_QUOTA, 15_000) == 15_000
-    assert quota.units(_QUOTA, None) == 200
+    assert quota.request_units(_QUOTA, 15_000) == 15_000
+    assert quota.request_units(_QUOTA, None) == 200
     by_requests = model.Quota(rate_per_s=10)
-    assert quota.units(by_requests, 15_000) == 1
+    assert quota.request_units(by_requests, 15_000) == 1
 
 
 def test_no_quota_is_no_limit() -> None:
@@ -70,9 +70,9 @@
     found = buckets()
     assert most_admitted(found, 0.0) == int(_SIZE / _STREAM)
     refused = admit(found, 0.0)
-    assert refused is not None and 0.0 < refused.room_s < 0.6
-    assert admit(found, 0.9 * refused.room_s) is not None
-    assert admit(found, 1.1 * refused.room_s) is None
+    assert refused is not None and 0.0 < refused.retry_after_s < 0.6
+    assert admit(found, 0.9 * refused.retry_after_s) is not None
+    assert admit(found, 1.1 * refused.retry_after_s) is None
     passed = sum(most_admitted(found, at * 0.5) for at in range(2, 17))
     assert 29_000 * 6.0 < passed * _STREAM <= 29_000 * 8.0
     # Left alone it is full again, and never fuller.
@@ -87,9 +87,9 @@
     found.cancel(_NORD, int(_SIZE), 30.0)
     assert found.check(_ORGANISATION, _STREAM, 30.0) is None
     found.admit(_NORD, int(_SIZE), 30.0)
-    found.sent(_NORD, int(_SIZE), 30.0)
+    found.record_sent(_NORD, int(_SIZE), 30.0)
     assert found.check(_ORGANISATION, _STREAM, 30.0) is not None
-    found.not_run(_NORD, int(_SIZE), 30.0, 30.1)
+    found.record_not_run(_NORD, int(_SIZE), 30.0, 30.1)
     found.cancel(_NORD, int(_SIZE), 30.1)
     assert found.check(_ORGANISATION, _STREAM, 30.1) is None
 
@@ -111,9 +111,9 @@
 
 def test_gateways_that_are_gone_are_forgotten() -> None:
     found = group(3)
-    assert found[0].heard(0.0) == 3
+    assert found[0].reachable_gateways(0.0) == 3
     found[0].forget(20.0)
-    assert found[0].heard(20.0) == 1
+    assert found[0].reachable_gateways(20.0) == 1
     # What one says that is heard again is no new spending.
     for second in range(30):
         admit(found[1], 20.0 + second, 14_000)
@@ -129,10 +129,10 @@
     to: list[quota_buckets.SharedBuckets],
     now: float,
 ) -> None:
-    told = sender.tell(now)
+    told = sender.next_report(now)
     for other in to:
         if other is not sender:
-            other.take(types.VmId(name), life, told, now)
+            other.receive(types.VmId(name), life, told, now)
 
 
 def group(
@@ -204,17 +204,17 @@
 def test_what_is_told_is_what_changed_and_now_and_then_everything() -> None:
     found = buckets(began=0.0)
     admit(found, 10.0)
-    first = found.tell(10.0)
-    assert (first.spent, first.up_s) == ({_NORD: _STREAM}, 10)
-    assert found.tell(10.01).spent == {}
+    first = found.next_report(10.0)
+    assert (first.spent, first.uptime_s) == ({_NORD: _STREAM}, 10)
+    assert found.next_report(10.01).spent == {}
     admit(found, 10.02)
-    assert found.tell(10.02).spent == {_NORD: 2 * _STREAM}
-    assert not found.tell(10.03).levels
-    assert found.tell(11.0).spent == {_NORD: 2 * _STREAM}
+    assert found.next_report(10.02).spent == {_NORD: 2 * _STREAM}
+    assert not found.next_report(10.03).levels
+    assert found.next_report(11.0).spent == {_NORD: 2 * _STREAM}
     # Who has just begun to tell is told everything next.
     admit(found, 11.1)
-    assert found.take(types.VmId("new"), 1, quota.Told(), 11.1)
-    told = found.tell(11.11)
+    assert found.receive(types.VmId("new"), 1, quota.QuotaReport(), 11.1)
+    told = found.next_report(11.11)
     assert told.spent == {_NORD: 3 * _STREAM}
     assert int(_SIZE) - _STREAM <= told.levels[_NORD] < _SIZE
 
@@ -225,7 +225,7 @@
     for second in range(1, 41):
         for one in found:
             admit(one, float(second), 10_000)
-            one.tell(float(second))
+            one.next_report(float(second))
     for at, one in enumerate(found):
         tell(one, str(at), 1, found, 41.0 + at)
     assert all(admit(one, 43.0) is None for one in found)
@@ -244,7 +244,7 @@
 def test_a_word_that_is_lost_is_made_good_by_the_next() -> None:
     found = group(2)
     admit(found[0], 0.1)
-    found[0].tell(0.1)
+    found[0].next_report(0.1)
     admit(found[0], 0.2)
     tell(found[0], "0", 1, found, 0.2)
     assert most_admitted(found[1], 0.2) <= (_SIZE - 2 * _STREAM) / _STREAM
@@ -267,7 +267,9 @@
     """Also where it is worth many seconds of the rate."""
     slow = model.Quota(rate_per_s=10, burst=500)
     found = quota_buckets.SharedBuckets(
-        terms=quota.Terms(window_s=8.0), began=0.0, limit_of=lambda name: slow
+        terms=quota.QuotaSettings(window_s=8.0),
+        began=0.0,
+        limit_of=lambda name: slow,
     )
     item = model.Organisation(name=_NORD, keys=(), quota=slow)
     assert found.check(item, 200, 1.0) is not None
@@ -299,7 +301,7 @@
         now = 1.0 + 0.1 * step
         if found.check(item, _STREAM, now) is None:
             found.admit(_NORD, _STREAM, now)
-            found.sent(_NORD, _STREAM, now)
+            found.record_sent(_NORD, _STREAM, now)
             passed += _STREAM
     assert passed <= quota_world.TERMS.bound(low)
 
--- a/tests/test_quota_use.py
+++ b/tests/test_quota_use.py
@@ -21,30 +21,30 @@
 
 
 def test_use_is_of_the_last_window() -> None:
-    book = quota_use.UseBook(window_s=8.0)
-    book.admitted(name("a"), 300, 1.0)
-    book.admitted(name("b"), 200, 2.0)
-    book.refused(name("b"), 2.0)
+    book = quota_use.QuotaUseTracker(window_s=8.0)
+    book.record_admitted(name("a"), 300, 1.0)
+    book.record_admitted(name("b"), 200, 2.0)
+    book.record_refused(name("b"), 2.0)
     assert book.recent(3.0) == (
-        quota_use.Use(name("a"), 300, 0),
-        quota_use.Use(name("b"), 200, 1),
+        quota_use.QuotaUse(name("a"), 300, 0),
+        quota_use.QuotaUse(name("b"), 200, 1),
     )
-    assert book.recent(9.5) == (quota_use.Use(name("b"), 200, 1),)
+    assert book.recent(9.5) == (quota_use.QuotaUse(name("b"), 200, 1),)
     assert book.recent(10.1) == ()
 
 
 def test_of_many_organisations_the_largest_are_told() -> None:
     """630 organisations cost what twenty-one do."""
-    book = quota_use.UseBook(window_s=8.0)
+    book = quota_use.QuotaUseTracker(window_s=8.0)
     for number in range(630):
-        book.admitted(name(f"o{number}"), number, 1.0)
+        book.record_admitted(name(f"o{number}"), number, 1.0)
     told = book.recent(2.0)
     assert len(told) == 21
-    assert told[0] == quota_use.Use(name("o629"), 629, 0)
-    assert told[-1].organisation == quota_use.REST
+    assert told[0] == quota_use.QuotaUse(name("o629"), 629, 0)
+    assert told[-1].organisation == quota_use.OTHERS
     assert sum(item.units for item in told) == sum(range(630))
     # Added up over gateways the rest stays the rest.
-    assert quota_use.largest(told * 2)[-1].organisation == quota_use.REST
+    assert quota_use.largest(told * 2)[-1].organisation == quota_use.OTHERS
 
 
 def test_what_is_over_a_quota_is_refused_and_shown(
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -25,18 +25,18 @@
     """A gateway that owns one rate."""
 
     def __init__(self, per_s: float = 2.0) -> None:
-        self.book = rate_grants.GrantBook(rng=random.Random(1))
+        self.book = rate_grants.GrantLedger(rng=random.Random(1))
         self.per_s = per_s
         self.share = 1.0
         self.since = 0.0
 
     def ask(
         self, vm: str, now: float, *, priority: int = 2, waits: bool = False
-    ) -> rate_grants.Verdict:
-        wish = rate_grants.Wish(
-            vm=types.VmId(vm), priority=priority, waits=waits
+    ) -> rate_grants.GrantDecision:
+        wish = rate_grants.GrantApplicant(
+            vm=types.VmId(vm), priority=priority, is_waiting=waits
         )
-        return self.book.ask(
+        return self.book.decide(
             KEY,
             wish,
             per_s=self.per_s,
@@ -101,7 +101,7 @@
     owner.ask("a", 0.0)
     assert owner.ask("a", 0.5).granted
     assert not owner.ask("b", 0.5).granted
-    owner.book.give_back(KEY)
+    owner.book.release(KEY)
     assert owner.ask("b", 0.5).granted
 
 
@@ -157,63 +157,69 @@
     """What one gateway knows of an endpoint that names a rate."""
 
     def __init__(self, per_s: float = 2.0) -> None:
-        self.book = endpoint_rates.RateBook()
-        self.gate = rate_gate.RateGate(book=self.book)
+        self.book = endpoint_rates.RateTable()
+        self.gate = rate_gate.RateGate(rates=self.book)
         self.one = test_eligibility.endpoint("a", born=1)
-        self.book.answered(self.one, endpoint_rates.Named(per_s=per_s), 0.0)
+        self.book.record_answer(
+            self.one, endpoint_rates.AnswerRate(per_s=per_s), 0.0
+        )
 
     def opens(self, now: float) -> bool:
-        return self.gate.may_begin(self.one, now)
+        return self.gate.may_select(self.one, now)
 
 
 def test_one_request_at_a_time_is_meant_for_it() -> None:
     """It has the least under way, and all would choose it."""
     gate = Gate()
     assert gate.opens(1.0)
-    gate.gate.chose(gate.one, 1.0)
+    gate.gate.record_selection(gate.one, 1.0)
     assert not gate.opens(1.01)
-    gate.gate.answered(gate.one, rate_grants.Verdict(granted=True), 1.02)
+    gate.gate.record_decision(
+        gate.one, rate_grants.GrantDecision(granted=True), 1.02
+    )
     assert gate.opens(1.02)
     # One that ended before it asked holds up nobody for long.
-    gate.gate.chose(gate.one, 2.0)
+    gate.gate.record_selection(gate.one, 2.0)
     assert gate.opens(2.2)
 
 
 def test_it_is_not_chosen_before_its_owner_said() -> None:
     gate = Gate()
-    verdict = rate_grants.Verdict(granted=False, wait_s=0.7, contenders=4)
-    gate.gate.answered(gate.one, verdict, 1.0)
+    verdict = rate_grants.GrantDecision(
+        granted=False, wait_s=0.7, contenders=4
+    )
+    gate.gate.record_decision(gate.one, verdict, 1.0)
     assert not gate.opens(1.6)
-    assert gate.gate.opens_at(gate.one) == 1.7
+    assert gate.gate.available_at(gate.one) == 1.7
     assert gate.opens(1.7)
-    assert gate.gate.own_per_s(gate.one) == 0.5
+    assert gate.gate.own_rate_per_s(gate.one) == 0.5
 
 
 def test_an_owner_that_does_not_answer_is_left_alone_for_a_while() -> None:
     gate = Gate()
-    gate.gate.unanswered(gate.one, 1.0)
+    gate.gate.record_no_answer(gate.one, 1.0)
     assert not gate.opens(1.1)
     assert gate.opens(1.5)
 
 
 def test_a_rate_that_has_ended_bars_nobody() -> None:
     gate = Gate()
-    gate.gate.unanswered(gate.one, 1.0)
+    gate.gate.record_no_answer(gate.one, 1.0)
     for _ in range(3):
-        gate.book.answered(gate.one, endpoint_rates.Named(), 1.1)
+        gate.book.record_answer(gate.one, endpoint_rates.AnswerRate(), 1.1)
     assert gate.opens(1.1)
-    assert gate.gate.own_per_s(gate.one) is None
+    assert gate.gate.own_rate_per_s(gate.one) is None
 
 
 def test_the_rest_of_a_service_is_chosen_from() -> None:
     known = test_eligibility.Known()
-    known.eligible.rates.answered(
-        known.one, endpoint_rates.Named(per_s=2.0), 1.0
+    known.eligible.rates.record_answer(
+        known.one, endpoint_rates.AnswerRate(per_s=2.0), 1.0
     )
-    known.eligible.chose(known.one, 1.0)
+    known.eligible.record_selection(known.one, 1.0)
     assert known.chosen(1.05) == {"b"}
     # A rate is no bar: a request that has its grant is sent.
-    assert known.eligible.bar(known.one, 1.05) is None
+    assert known.eligible.ineligible_reason(known.one, 1.05) is None
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 21, 68])
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -86,10 +86,10 @@
                         assert back is not types.Role.PREFILL
 
 
-def known_pace(*, token_s: float, made_s: float) -> token_timing.Pace:
-    found = token_timing.Pace()
-    found.took(1000, 1000 * token_s)
-    found.made(1000, 1000 * made_s)
+def known_pace(*, token_s: float, made_s: float) -> token_timing.TokenTiming:
+    found = token_timing.TokenTiming()
+    found.record_prefill(1000, 1000 * token_s)
+    found.record_decode(1000, 1000 * made_s)
     return found
 
 
@@ -97,10 +97,10 @@
     meter = role_balance.DemandMeter(began=-60.0)
     known = known_pace(token_s=0.001, made_s=0.01)
     meter.add(0.0, prompt=600, out=1200, share=0.5)
-    found = meter.rate(SERVICE, 1.0, known)
+    found = meter.demand(SERVICE, 1.0, known)
     assert abs(found.prefill - 0.1) < 1e-9 and abs(found.decode - 1.0) < 1e-9
     assert found.is_known
-    assert meter.rate(SERVICE, 7.0, known).decode == 0.0
+    assert meter.demand(SERVICE, 7.0, known).decode == 0.0
 
 
 def test_a_gateway_that_has_just_started_knows_no_demand() -> None:
@@ -108,14 +108,14 @@
     meter = role_balance.DemandMeter(began=0.0)
     known = known_pace(token_s=0.001, made_s=0.01)
     # Nobody has asked for anything: that is known.
-    assert meter.rate(SERVICE, 1.0, token_timing.Pace()).is_known
+    assert meter.demand(SERVICE, 1.0, token_timing.TokenTiming()).is_known
     for at in (0.5, 1.0, 1.5, 2.0):
         meter.add(at, prompt=600, out=1200, share=0.5)
-    assert not meter.rate(SERVICE, 2.0, known).is_known
-    assert not meter.rate(SERVICE, 4.0, token_timing.Pace()).is_known
+    assert not meter.demand(SERVICE, 2.0, known).is_known
+    assert not meter.demand(SERVICE, 4.0, token_timing.TokenTiming()).is_known
     # What was asked before the pace was known counts at that pace, and
     # over the time that was counted.
-    found = meter.rate(SERVICE, 4.0, known)
+    found = meter.demand(SERVICE, 4.0, known)
     assert found.is_known
     assert abs(found.decode - 4 * 6.0 / 4.0) < 1e-9
 
@@ -137,12 +137,12 @@
 
 
 def test_the_pace_is_known_before_a_first_stream_has_ended() -> None:
-    new = token_timing.Pace()
-    new.took(1000, 0.03)
+    new = token_timing.TokenTiming()
+    new.record_prefill(1000, 0.03)
     assert not new.is_known
-    new.making(36, 0.2)
+    new.record_partial_decode(36, 0.2)
     assert new.is_known
-    assert abs(new.making_s(36) - 0.2) < 1e-9
+    assert abs(new.decode_s(36) - 0.2) < 1e-9
 
 
 def test_fences_rise_and_survive_a_snapshot() -> None:
@@ -275,7 +275,7 @@
             prefill=0.1 * work,
             decode=0.4 * work,
             is_known=is_known,
-            asked=asked,
+            requests_per_s=asked,
         )
 
     most = [told(0.2)] * 66 + [told(0.2, is_known=False)] * 2
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -132,7 +132,7 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             own = site.gateway.site
-            own.pace.made(10, 10.0)
+            own.pace.record_decode(10, 10.0)
             own.planned_stop.begin(own.loop_time() + 5.0)
             got = await site.raw(hinted(8))
             assert test_gateway.status(got) == 503
@@ -160,7 +160,7 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             own = site.gateway.site
-            own.pace.made(10, 10.0)
+            own.pace.record_decode(10, 10.0)
             own.planned_stop.begin(own.loop_time() + 5.0)
             await asyncio.sleep(admission_queue._TRY_S + 0.1)
             got = await site.raw(hinted(8))
@@ -275,14 +275,14 @@
         other = messages.GatewayAddress(
             vm=types.VmId("g2"), load_address="h:1"
         )
-        use = {types.EndpointId("a"): endpoint_load.Use(requests=3)}
+        use = {types.EndpointId("a"): endpoint_load.EndpointLoad(requests=3)}
         site.set_gateways([other])
-        site.loads.take(other.vm, 1, 1, use, site.loop_time())
+        site.loads.receive(other.vm, 1, 1, use, site.loop_time())
         site.set_gateways([])
         now = site.loop_time()
         assert site.loads.total(types.EndpointId("a")).requests == 3
         assert other.vm in site.gateways
-        site.loads.take(other.vm, 1, 2, use, now - 2.0)
+        site.loads.receive(other.vm, 1, 2, use, now - 2.0)
         site.drop_gateways()
         assert other.vm not in site.gateways
         assert not site.loads.total(types.EndpointId("a")).requests
@@ -299,7 +299,11 @@
             incarnation=1,
             sequence=1,
             loads={},
-            waiting=(queue_order.Left(priority=0, slack_s=0.1, start_s=3.0),),
+            waiting=(
+                queue_order.WaitingSummary(
+                    priority=0, slack_s=0.1, start_s=3.0
+                ),
+            ),
             refused_keys=(11,),
             failed=(types.EndpointId("a"),),
             rejecting=(types.EndpointId("b"),),
@@ -307,10 +311,12 @@
         share = load_exchange.LoadExchange(site=site)
         share.datagram_received(codec.encode(told), None)
         now = site.loop_time()
-        later = queue_order.Left(priority=0, slack_s=2.0, start_s=5.0)
-        assert site.loads.ahead(later, site.host.vm, now) == 1
-        assert site.refused.came_back(11, now)
-        assert site.health.avoided(types.EndpointId("a"), now)
+        later = queue_order.WaitingSummary(
+            priority=0, slack_s=2.0, start_s=5.0
+        )
+        assert site.loads.waiting_ahead(later, site.host.vm, now) == 1
+        assert site.refused.was_refused(11, now)
+        assert site.health.is_avoided(types.EndpointId("a"), now)
         assert site.health.is_full(types.EndpointId("b"), now)
 
     asyncio.run(main())
--- a/tests/test_token_timing.py
+++ b/tests/test_token_timing.py
@@ -25,28 +25,28 @@
 
 
 def test_a_reading_that_was_held_up_does_not_stay_the_pace() -> None:
-    pace = token_timing_mod.Pace()
-    pace.took(_TOKENS, _HELD_UP_S)
+    pace = token_timing_mod.TokenTiming()
+    pace.record_prefill(_TOKENS, _HELD_UP_S)
     for _ in range(3):
-        pace.took(_TOKENS, _USUAL_S)
-    assert pace.expected_s(_TOKENS) < 2.0 * _USUAL_S
+        pace.record_prefill(_TOKENS, _USUAL_S)
+    assert pace.prefill_s(_TOKENS) < 2.0 * _USUAL_S
 
 
 def test_neither_does_a_stream() -> None:
-    pace = token_timing_mod.Pace()
-    pace.made(1000, _HELD_UP_S)
+    pace = token_timing_mod.TokenTiming()
+    pace.record_decode(1000, _HELD_UP_S)
     for _ in range(3):
-        pace.made(1000, _USUAL_S)
-    assert pace.making_s(1000) < 2.0 * _USUAL_S
+        pace.record_decode(1000, _USUAL_S)
+    assert pace.decode_s(1000) < 2.0 * _USUAL_S
     assert pace.run_s < 12.0 * _USUAL_S
 
 
 def test_one_slow_reading_changes_a_known_pace_by_little() -> None:
-    pace = token_timing_mod.Pace()
+    pace = token_timing_mod.TokenTiming()
     for _ in range(20):
-        pace.took(_TOKENS, _USUAL_S)
-    pace.took(_TOKENS, _HELD_UP_S)
-    assert pace.expected_s(_TOKENS) < 2.5 * _USUAL_S
+        pace.record_prefill(_TOKENS, _USUAL_S)
+    pace.record_prefill(_TOKENS, _HELD_UP_S)
+    assert pace.prefill_s(_TOKENS) < 2.5 * _USUAL_S
 
 
 def _wanted(now: float) -> reservation_mod.ReservationRequest:
