--- a/lab/control_load.py
+++ b/lab/control_load.py
@@ -88,12 +88,12 @@
     node = (await _leader(site)).node
     began = time.perf_counter()
     for number in range(_CHANGES):
-        await node.ask(_write(number, 0))
+        await node.commit(_write(number, 0))
     one = _CHANGES / (time.perf_counter() - began)
     began = time.perf_counter()
     for base in range(1000, 1000 + 4 * _CHANGES, 16):
         await asyncio.gather(
-            *(node.ask(_write(base + idx, 0)) for idx in range(16))
+            *(node.commit(_write(base + idx, 0)) for idx in range(16))
         )
     many = 4 * _CHANGES / (time.perf_counter() - began)
     print(f"  changes a second: {one:.0f} alone, {many:.0f} sixteen at once")
@@ -160,7 +160,7 @@
         times = []
         base = 10_000 * count
         for number in range(30):
-            result = await node.ask(_write(base + number, 0))
+            result = await node.commit(_write(base + number, 0))
             began = time.perf_counter()
             assert isinstance(result, commands.Accepted)
             while any(
@@ -187,7 +187,7 @@
         node = (await _leader(site)).node
         for base in range(0, 10_000, 50):
             await asyncio.gather(
-                *(node.ask(_write(base + idx, 0)) for idx in range(50))
+                *(node.commit(_write(base + idx, 0)) for idx in range(50))
             )
         data = folder / "c0"
         size = sum(path.stat().st_size for path in data.iterdir())
--- a/lab/history.py
+++ b/lab/history.py
@@ -52,7 +52,7 @@
         if not self.group.up:
             return None
         name = self.rng.choice(sorted(self.group.up))
-        result = await self.group.up[name].node.ask(cmd)
+        result = await self.group.up[name].node.commit(cmd)
         return None if self.rng.random() < 0.1 else result
 
     async def _operator(self, idx: int) -> None:
--- a/rackpost/consensus/follower_log.py
+++ b/rackpost/consensus/follower_log.py
@@ -7,7 +7,7 @@
 from rackpost.consensus import output
 
 
-def take(
+def append_entries(
     log: log_mod.Log,
     out: output.Output,
     entries: Sequence[m.Entry],
@@ -37,7 +37,7 @@
         out.cut_from = index
 
 
-def install(
+def install_snapshot(
     log: log_mod.Log, out: output.Output, snapshot: m.Snapshot
 ) -> None:
     """Put a leader's snapshot in place of all that it covers."""
--- a/rackpost/consensus/followers.py
+++ b/rackpost/consensus/followers.py
@@ -15,43 +15,43 @@
 _MAX_INSTALL_WAIT_S = 5.0
 
 
-class Follower:
+class FollowerProgress:
     """How far one replica is, as far as its leader knows.
 
     Attributes:
-        next: the index of the record that it is sent next.
-        match: up to where its log is known to be the leader's.
+        next_index: the index of the record that it is sent next.
+        match_index: up to where its log is known to be the leader's.
         number: the newest round of the leader that it has answered.
-        heard_at: when it was heard last.
+        last_contact_at: when it was heard last.
     """
 
     def __init__(self, *, next_index: int, now: float) -> None:
-        self.next = next_index
-        self.match = 0
+        self.next_index = next_index
+        self.match_index = 0
         self.number = 0
-        self.heard_at = now
+        self.last_contact_at = now
         self._install_at = now
         self._install_wait_s = _FIRST_INSTALL_WAIT_S
 
-    def heard(self, number: int, now: float) -> None:
+    def record_reply(self, number: int, now: float) -> None:
         """It has answered a round."""
-        self.heard_at = now
+        self.last_contact_at = now
         self.number = max(self.number, number)
 
-    def matches(self, index: int) -> None:
+    def record_match(self, index: int) -> None:
         """Its log is the leader's up to `index`."""
         self._install_wait_s = _FIRST_INSTALL_WAIT_S
-        self.match = max(self.match, index)
-        self.next = max(self.next, self.match + 1)
+        self.match_index = max(self.match_index, index)
+        self.next_index = max(self.next_index, self.match_index + 1)
 
-    def differs(self, hint: int) -> bool:
+    def record_mismatch(self, hint: int) -> bool:
         """Its log may match up to `hint`; whether that is news."""
-        if hint + 1 >= self.next:
+        if hint + 1 >= self.next_index:
             return False
-        self.next = max(hint, self.match) + 1
+        self.next_index = max(hint, self.match_index) + 1
         return True
 
-    def take_install(self, now: float) -> bool:
+    def try_start_install(self, now: float) -> bool:
         """Whether it may be sent a snapshot now; if so, it is."""
         if now < self._install_at:
             return False
@@ -67,34 +67,34 @@
         self._install_wait_s = _FIRST_INSTALL_WAIT_S
 
 
-class Followers:
+class ProgressTracker:
     """All other replicas, as one leader knows them in one term."""
 
     def __init__(self, *, me: m.ReplicaId) -> None:
         self._me = me
-        self._known: dict[m.ReplicaId, Follower] = {}
+        self._known: dict[m.ReplicaId, FollowerProgress] = {}
 
-    def find(self, peer: m.ReplicaId) -> Follower | None:
+    def find(self, peer: m.ReplicaId) -> FollowerProgress | None:
         """What is known of a replica."""
         return self._known.get(peer)
 
     def take(
         self, peer: m.ReplicaId, *, next_index: int, now: float
-    ) -> Follower:
+    ) -> FollowerProgress:
         """What is known of a replica, from now on at the latest."""
         found = self._known.get(peer)
         if found is None:
-            found = Follower(next_index=next_index, now=now)
+            found = FollowerProgress(next_index=next_index, now=now)
             self._known[peer] = found
         return found
 
-    def reached_by(
+    def quorum_value(
         self,
         voters: Iterable[m.ReplicaId],
         needed: int,
         *,
         mine: int,
-        of: Callable[[Follower], int],
+        of: Callable[[FollowerProgress], int],
     ) -> int:
         """The highest figure that `needed` of the voters have reached.
 
@@ -107,7 +107,7 @@
         self,
         voters: Iterable[m.ReplicaId],
         mine: int,
-        of: Callable[[Follower], int],
+        of: Callable[[FollowerProgress], int],
     ) -> Iterable[int]:
         for peer in voters:
             known = self._known.get(peer)
--- a/rackpost/consensus/log.py
+++ b/rackpost/consensus/log.py
@@ -42,7 +42,7 @@
         """Whether a log that ends so holds all that this one may have."""
         return (term, index) >= (self.last_term, self.last_index)
 
-    def before_term_of(self, index: int, *, down_to: int) -> int:
+    def conflict_hint(self, index: int, *, down_to: int) -> int:
         """Where another log may agree that differs at `index`.
 
         A whole term is skipped at once, down to what is committed.
--- a/rackpost/consensus/membership.py
+++ b/rackpost/consensus/membership.py
@@ -21,11 +21,11 @@
 _FEWEST_VOTERS = 3
 
 
-class View(msgspec.Struct, frozen=True, kw_only=True):
+class ClusterView(msgspec.Struct, frozen=True, kw_only=True):
     """What the leader knows.
 
     Attributes:
-        silence: seconds since each replica was last heard.
+        silence_s: seconds since each replica was last heard.
         caught_up: replicas that have all that is committed.
         joining: ids, not in the config, that have asked to join lately.
         target: how many voters there should be.
@@ -34,7 +34,7 @@
 
     me: m.ReplicaId
     config: m.Config
-    silence: dict[m.ReplicaId, float]
+    silence_s: dict[m.ReplicaId, float]
     caught_up: frozenset[m.ReplicaId]
     joining: tuple[m.ReplicaId, ...]
     target: int
@@ -55,7 +55,7 @@
     return 2 * copies - 1 if copies > 1 else _FEWEST_VOTERS
 
 
-def why_not(
+def rejection_reason(
     old: m.Config, new: m.Config, caught_up: Collection[m.ReplicaId]
 ) -> str | None:
     """Why a config may not follow another; None if it may.
@@ -72,20 +72,20 @@
     return None if new.voters else "there must be a voter"
 
 
-def next_config(view: View) -> m.Config | None:
+def next_config(view: ClusterView) -> m.Config | None:
     """The next config, or None if the present one is as it should be."""
     return _promote(view) or _remove_voter(view) or _learners(view)
 
 
-def _ready_learner(view: View) -> m.ReplicaId | None:
+def _ready_learner(view: ClusterView) -> m.ReplicaId | None:
     for learner in view.config.learners:
-        heard = view.silence.get(learner, 0.0) < REPLACE_AFTER_S
+        heard = view.silence_s.get(learner, 0.0) < REPLACE_AFTER_S
         if heard and learner in view.caught_up:
             return learner
     return None
 
 
-def _promote(view: View) -> m.Config | None:
+def _promote(view: ClusterView) -> m.Config | None:
     learner = _ready_learner(view)
     if learner is None or len(view.config.voters) >= view.target:
         return None
@@ -95,13 +95,15 @@
     )
 
 
-def _remove_voter(view: View) -> m.Config | None:
+def _remove_voter(view: ClusterView) -> m.Config | None:
     gone = _gone_voter(view)
     if gone is None:
         return None
     rest = _without(view.config.voters, gone)
     alive = [
-        peer for peer in rest if view.silence.get(peer, 0.0) < REPLACE_AFTER_S
+        peer
+        for peer in rest
+        if view.silence_s.get(peer, 0.0) < REPLACE_AFTER_S
     ]
     config = m.Config(voters=rest, learners=view.config.learners)
     if len(alive) < max(config.quorum, min(view.copies, len(rest))):
@@ -109,13 +111,13 @@
     return config
 
 
-def _gone_voter(view: View) -> m.ReplicaId | None:
+def _gone_voter(view: ClusterView) -> m.ReplicaId | None:
     newcomers = view.config.learners + view.joining
     spare = _ready_learner(view) is not None
     for voter in view.config.voters:
         if voter == view.me:
             continue
-        if view.silence.get(voter, 0.0) < REPLACE_AFTER_S:
+        if view.silence_s.get(voter, 0.0) < REPLACE_AFTER_S:
             continue
         wiped = any(host_of(item) == host_of(voter) for item in newcomers)
         if wiped or spare:
@@ -123,7 +125,7 @@
     return None
 
 
-def _learners(view: View) -> m.Config | None:
+def _learners(view: ClusterView) -> m.Config | None:
     config = view.config
     for peer in view.joining:
         if peer not in config.everyone:
@@ -134,7 +136,7 @@
             )
             return m.Config(voters=config.voters, learners=kept + (peer,))
     for peer in config.learners:
-        if view.silence.get(peer, 0.0) > DROP_AFTER_S:
+        if view.silence_s.get(peer, 0.0) > DROP_AFTER_S:
             return m.Config(
                 voters=config.voters, learners=_without(config.learners, peer)
             )
--- a/rackpost/consensus/raft.py
+++ b/rackpost/consensus/raft.py
@@ -67,7 +67,7 @@
         self._out = output.Output()
         self._votes: set[m.ReplicaId] = set()
         self._pre = False
-        self._followers = followers.Followers(me=me)
+        self._followers = followers.ProgressTracker(me=me)
         self._number = 0
         self._reads = reads.PendingReads()
         self._heard_at = now
@@ -91,7 +91,7 @@
         """What must never be forgotten besides the log."""
         return m.HardState(term=self.term, voted_for=self._voted_for)
 
-    def take(self) -> output.Output:
+    def take_output(self) -> output.Output:
         """What has to be done since the last call."""
         out = self._out
         self._out = output.Output()
@@ -99,14 +99,14 @@
 
     def silence(self, peer: m.ReplicaId, now: float) -> float:
         """Seconds since this leader last heard a replica."""
-        return now - self._peer(peer, now).heard_at
+        return now - self._peer(peer, now).last_contact_at
 
     def caught_up(self, peer: m.ReplicaId) -> bool:
         """Whether a replica has all that this leader has committed."""
         known = self._followers.find(peer)
-        return known is not None and known.match >= self.commit
+        return known is not None and known.match_index >= self.commit
 
-    def hears_quorum(self, now: float) -> bool:
+    def in_quorum_contact(self, now: float) -> bool:
         """Whether this replica was in touch with a quorum lately.
 
         A follower is if it heard of a leader, which steps down when it
@@ -190,7 +190,7 @@
         if not self._committed_own_term():
             return "the leader is too new; try again"
         caught_up = {peer for peer in new.voters if self.caught_up(peer)}
-        why = membership.why_not(old, new, caught_up)
+        why = membership.rejection_reason(old, new, caught_up)
         if why is None:
             self._append_own(b"", new, now)
         return why
@@ -322,7 +322,7 @@
     def _lead(self, now: float) -> None:
         self.role = Role.LEADER
         self.leader = self.me
-        self._followers = followers.Followers(me=self.me)
+        self._followers = followers.ProgressTracker(me=self.me)
         self._append_own(b"", None, now)
 
     def _committed_own_term(self) -> bool:
@@ -343,7 +343,9 @@
         self._advance(now)
         return entry.index
 
-    def _peer(self, peer: m.ReplicaId, now: float) -> followers.Follower:
+    def _peer(
+        self, peer: m.ReplicaId, now: float
+    ) -> followers.FollowerProgress:
         return self._followers.take(
             peer, next_index=self.log.last_index, now=now
         )
@@ -375,24 +377,24 @@
         if self.role is not Role.LEADER or msg.term != self.term:
             return
         known = self._peer(msg.sender, now)
-        known.heard(msg.number, now)
+        known.record_reply(msg.number, now)
         if msg.ok:
-            known.matches(msg.match)
+            known.record_match(msg.match)
             self._advance(now)
-            if known.next <= self.log.last_index:
+            if known.next_index <= self.log.last_index:
                 self._replicate(msg.sender, now)
-        elif known.differs(msg.match):
+        elif known.record_mismatch(msg.match):
             self._replicate(msg.sender, now)
         self._confirm_reads()
 
     def _advance(self, now: float) -> None:
         voters = self.config.voters
         needed = max(self.config.quorum, self._copies)
-        index = self._followers.reached_by(
+        index = self._followers.quorum_value(
             voters,
             min(needed, len(voters)),
             mine=self.log.last_index,
-            of=lambda known: known.match,
+            of=lambda known: known.match_index,
         )
         # Only records of the own term are counted (Raft, section 5.4.2).
         if index > self.commit and self.log.term_at(index) == self.term:
@@ -417,12 +419,12 @@
             1
             for peer in voters
             if peer == self.me
-            or now - self._peer(peer, now).heard_at < 2 * ELECTION_S
+            or now - self._peer(peer, now).last_contact_at < 2 * ELECTION_S
         )
         return heard >= self.config.quorum
 
     def _confirm_reads(self) -> None:
-        number = self._followers.reached_by(
+        number = self._followers.quorum_value(
             self.config.voters,
             self.config.quorum,
             mine=self._number,
@@ -446,7 +448,9 @@
         self._heard_leader(msg, now)
         if self._missing_before(msg):
             return
-        follower_log.take(self.log, self._out, msg.entries, self.commit)
+        follower_log.append_entries(
+            self.log, self._out, msg.entries, self.commit
+        )
         match = msg.prev_index + len(msg.entries)
         self._reply(msg, ok=True, match=match)
         if min(msg.commit, match) > self.commit:
@@ -459,7 +463,7 @@
         term = self.log.term_at(msg.prev_index)
         if term == msg.prev_term:
             return False
-        hint = self.log.before_term_of(msg.prev_index, down_to=self.commit)
+        hint = self.log.conflict_hint(msg.prev_index, down_to=self.commit)
         self._reply(msg, ok=False, match=hint)
         return True
 
@@ -470,7 +474,7 @@
         self._heard_leader(msg, now)
         snapshot = msg.snapshot
         if snapshot.index > self.commit:
-            follower_log.install(self.log, self._out, snapshot)
+            follower_log.install_snapshot(self.log, self._out, snapshot)
             self.commit = snapshot.index
             self.applied = snapshot.index
         self._reply(msg, ok=True, match=snapshot.index)
--- a/rackpost/consensus/replication.py
+++ b/rackpost/consensus/replication.py
@@ -22,14 +22,16 @@
     number: int
 
 
-def needs_snapshot(known: followers.Follower, log: log_mod.Log) -> bool:
+def needs_snapshot(
+    known: followers.FollowerProgress, log: log_mod.Log
+) -> bool:
     """Whether the log does not reach back to where a follower is."""
-    prev = known.next - 1
+    prev = known.next_index - 1
     return prev < log.snapshot.index or log.term_at(prev) is None
 
 
 def next_message(
-    known: followers.Follower,
+    known: followers.FollowerProgress,
     log: log_mod.Log,
     leading: Leading,
     now: float,
@@ -37,7 +39,7 @@
     """Records that a follower lacks, or a snapshot; none if it waits."""
     if not needs_snapshot(known, log):
         return _records(known, log, leading)
-    if not known.take_install(now):
+    if not known.try_start_install(now):
         return None
     return m.Install(
         sender=leading.me,
@@ -48,12 +50,12 @@
 
 
 def _records(
-    known: followers.Follower, log: log_mod.Log, leading: Leading
+    known: followers.FollowerProgress, log: log_mod.Log, leading: Leading
 ) -> m.Append:
-    prev = known.next - 1
+    prev = known.next_index - 1
     entries = log.after(prev, _MAX_BATCH, _MAX_BATCH_BYTES)
     # Records are sent on without waiting for the reply to the last.
-    known.next = prev + len(entries) + 1
+    known.next_index = prev + len(entries) + 1
     return _append(leading, prev, log.term_at(prev), entries)
 
 
--- a/rackpost/consensus/storage.py
+++ b/rackpost/consensus/storage.py
@@ -47,14 +47,14 @@
     cut_from: m.Index | None = None
 
 
-class Mark(msgspec.Struct, frozen=True, kw_only=True):
+class CommitMark(msgspec.Struct, frozen=True, kw_only=True):
     """A record that is known to be committed, and so all before it."""
 
     index: m.Index
     term: m.Term
 
 
-class Loaded(msgspec.Struct, kw_only=True):
+class StoredState(msgspec.Struct, kw_only=True):
     """What a replica restarts from.
 
     Records up to `committed` were committed when the replica ended.
@@ -160,7 +160,7 @@
         os.close(handle)
 
 
-def write_whole(path: pathlib.Path, data: bytes) -> None:
+def write_atomically(path: pathlib.Path, data: bytes) -> None:
     """Put a file in place, whole and synced, or leave the old one."""
     part = path.with_suffix(".part")
     try:
@@ -178,7 +178,7 @@
 
 def write_one(path: pathlib.Path, msg: msgspec.Struct) -> None:
     """Put a file that holds one message in place; OSError if that fails."""
-    write_whole(path, frame(codec.encode(msg)))
+    write_atomically(path, frame(codec.encode(msg)))
 
 
 def read_one(path: pathlib.Path, kind: type) -> msgspec.Struct:
@@ -205,7 +205,7 @@
     if path.exists():
         raise exceptions.StorageError(f"{folder} has a replica already")
     identity = Identity(replica=replica, config=config)
-    write_whole(path, frame(codec.encode(identity)))
+    write_atomically(path, frame(codec.encode(identity)))
 
 
 class FileDisk(Disk):
@@ -219,7 +219,7 @@
         self._size = 0
         self._dirty = False
 
-    def load(self) -> Loaded:
+    def load(self) -> StoredState:
         """Read all, cut a torn end, and open the log for writing.
 
         Raises StorageError where there is no replica or it is damaged.
@@ -236,7 +236,7 @@
             hard = batch.hard or hard
             replay(log, batch)
         self._open(good)
-        return Loaded(
+        return StoredState(
             identity=identity,
             hard=hard,
             log=log,
@@ -252,15 +252,15 @@
         """
         path = self._folder / "committed"
         try:
-            mark = read_one(path, Mark)
+            mark = read_one(path, CommitMark)
         except (OSError, exceptions.RackpostError):
             return log.snapshot.index
-        assert isinstance(mark, Mark)
+        assert isinstance(mark, CommitMark)
         if log.term_at(mark.index) != mark.term:
             return log.snapshot.index
         return mark.index
 
-    async def note_committed(self, mark: Mark) -> None:
+    async def record_committed(self, mark: CommitMark) -> None:
         """Keep a mark for the next start; StorageError if that fails."""
         path = self._folder / "committed"
         try:
@@ -333,9 +333,9 @@
         # A crash between the two leaves old records, which are skipped
         # as they lie below the snapshot.
         whole = frame(codec.encode(snapshot))
-        write_whole(self._folder / "snapshot", whole)
+        write_atomically(self._folder / "snapshot", whole)
         data = frame(codec.encode(rest))
-        write_whole(self._log, data)
+        write_atomically(self._log, data)
         # The old log stays open until the new one is, so that this can be
         # done again where the disk fails.
         old = self._handle
--- a/rackpost/control/client.py
+++ b/rackpost/control/client.py
@@ -243,7 +243,7 @@
         fut: asyncio.Future[commands.Result | None]
         fut = self._loop.create_future()
         self._asked[number] = fut
-        self._conn.send(messages.Ask(number=number, command=cmd))
+        self._conn.send(messages.CommandRequest(number=number, command=cmd))
         try:
             async with asyncio.timeout(_ANSWER_S):
                 result = await fut
--- a/rackpost/control/messages.py
+++ b/rackpost/control/messages.py
@@ -29,7 +29,7 @@
     revision: types.Revision
 
 
-class Ask(_Message, frozen=True, tag="ask"):
+class CommandRequest(_Message, frozen=True, tag="ask"):
     """Have a command appended; the answer carries the same `number`."""
 
     number: int
@@ -55,7 +55,7 @@
 
 
 class Answer(_Message, frozen=True, tag="answer"):
-    """The result of an `Ask`; None if it is not known and may be resent."""
+    """The result of a command; None if it is not known and may be resent."""
 
     number: int
     result: commands.Result | None
@@ -88,8 +88,8 @@
     index: consensus.Index | None
 
 
-class Heard(_Message, frozen=True, tag="heard"):
-    """Which processes a replica has heard of since its last `Heard`."""
+class StatusReport(_Message, frozen=True, tag="heard"):
+    """Which processes a replica has heard of since its last `StatusReport`."""
 
     seen: tuple[Status, ...]
 
@@ -100,7 +100,7 @@
     replica: consensus.ReplicaId
 
 
-FromClient = Union[Watch, Status, Ask]
+FromClient = Union[Watch, Status, CommandRequest]
 FromControl = Union[Feed, Whole, Alive, Answer]
 FromReplica = Union[
     ReplicaHello,
@@ -108,7 +108,7 @@
     Forwarded,
     ReadAsk,
     ReadIndex,
-    Heard,
+    StatusReport,
     consensus.VoteRequest,
     consensus.VoteReply,
     consensus.Append,
--- a/rackpost/control/node.py
+++ b/rackpost/control/node.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         *,
-        loaded: storage.Loaded,
+        loaded: storage.StoredState,
         disk: storage.Disk,
         rng: random.Random,
         compact_at: int = COMPACT_AT,
@@ -99,9 +99,9 @@
         # Bytes of commands in the log since its last snapshot.
         self._log_bytes = 0
         # Takes the messages of other replicas that are not about the log.
-        self.other: Callable[[consensus.ReplicaId, msgspec.Struct], None] = (
-            lambda peer, msg: None
-        )
+        self.on_other_message: Callable[
+            [consensus.ReplicaId, msgspec.Struct], None
+        ] = lambda peer, msg: None
 
     # Queries.
 
@@ -126,16 +126,16 @@
         return self._raft.term
 
     @property
-    def mark(self) -> storage.Mark | None:
+    def mark(self) -> storage.CommitMark | None:
         """The newest record that is applied here; None if there is none."""
         term = self._raft.log.term_at(self._applied)
         if term is None or self._applied == 0:
             return None
-        return storage.Mark(index=self._applied, term=term)
+        return storage.CommitMark(index=self._applied, term=term)
 
-    def hears_quorum(self) -> bool:
+    def in_quorum_contact(self) -> bool:
         """Whether this replica was in touch with a quorum lately."""
-        return self._raft.hears_quorum(self._loop.time())
+        return self._raft.in_quorum_contact(self._loop.time())
 
     def silence(self, peer: consensus.ReplicaId) -> float:
         """Seconds since this leader last heard a replica."""
@@ -196,14 +196,14 @@
             self._on_read_ask(peer, msg)
         elif isinstance(msg, messages.ReadIndex):
             _settle(self._reads.pop(msg.number, None), msg.index)
-        elif isinstance(msg, messages.Heard):
+        elif isinstance(msg, messages.StatusReport):
             for status in msg.seen:
                 self.seen[status.name] = (status, self._loop.time())
         elif isinstance(msg, _CONSENSUS):
             self._raft.receive(msg, self._loop.time())
             self._wake.set()
         elif not isinstance(msg, messages.ReplicaHello):
-            self.other(peer, msg)
+            self.on_other_message(peer, msg)
 
     def tell(self, peer: consensus.ReplicaId, msg: msgspec.Struct) -> None:
         """Send a message that is not about the log; lost without a link."""
@@ -221,7 +221,7 @@
 
     # Commands and reads.
 
-    async def ask(self, cmd: commands.AnyCommand) -> commands.Result | None:
+    async def commit(self, cmd: commands.AnyCommand) -> commands.Result | None:
         """Have a command committed; its result.
 
         None if that is not known: it may have been committed or not, and
@@ -362,7 +362,7 @@
         finally:
             self._watchers.discard(watcher)
 
-    def heard(self, status: messages.Status) -> None:
+    def record_status(self, status: messages.Status) -> None:
         """A process has told this replica that it lives."""
         self.seen[status.name] = (status, self._loop.time())
         self._fresh[status.name] = status
@@ -381,7 +381,7 @@
                     await self._wake.wait()
             self._wake.clear()
             self._raft.tick(self._loop.time())
-            await self._carry_out(self._raft.take())
+            await self._carry_out(self._raft.take_output())
             self._tell_heard()
 
     async def _carry_out(self, out: output.Output) -> None:
@@ -475,7 +475,7 @@
             return
         if self.leader is not None and not self.is_leader:
             seen = tuple(self._fresh.values())
-            self._send(self.leader, messages.Heard(seen=seen))
+            self._send(self.leader, messages.StatusReport(seen=seen))
         self._heard_sent = now
         self._fresh = {}
 
--- a/rackpost/control/operators.py
+++ b/rackpost/control/operators.py
@@ -359,7 +359,7 @@
         return _json({"accepted": True})
 
     async def _commit(self, cmd: commands.AnyCommand) -> responses.Response:
-        result = await self._node.ask(cmd)
+        result = await self._node.commit(cmd)
         if result is None:
             raise exceptions.ControlError(
                 "not known if it was accepted; send the same operation again"
@@ -384,7 +384,7 @@
         return responses.PlainTextResponse("ok\n")
 
     async def _readyz(self, _: requests.Request) -> responses.Response:
-        if self._node.hears_quorum():
+        if self._node.in_quorum_contact():
             return responses.PlainTextResponse("ready\n")
         return responses.PlainTextResponse("no quorum\n", 503)
 
--- a/rackpost/control/platform.py
+++ b/rackpost/control/platform.py
@@ -68,7 +68,7 @@
             raise exceptions.ControlError(f"platform list: {exc}") from exc
 
 
-class Hints:
+class LeavingVmOrders:
     """Has agents on leaving VMs leave."""
 
     def __init__(self, *, node: node_mod.Node, platform: PlatformList) -> None:
@@ -96,7 +96,7 @@
             op = f"leave/{member.name}/{member.incarnation}"
             if op in self._ordered:
                 continue
-            result = await self._node.ask(
+            result = await self._node.commit(
                 commands.Order(
                     op=types.OperationId(op),
                     who="platform",
--- a/rackpost/control/process.py
+++ b/rackpost/control/process.py
@@ -147,7 +147,7 @@
                 asyncio.create_task(self.service.run()),
             ]
             if self.opts.platform_list:
-                hints = platform.Hints(
+                hints = platform.LeavingVmOrders(
                     node=self.node,
                     platform=platform.HttpList(url=self.opts.platform_list),
                 )
--- a/rackpost/control/service.py
+++ b/rackpost/control/service.py
@@ -55,22 +55,24 @@
 
     def _on_message(self, session: _Session, msg: msgspec.Struct) -> None:
         if isinstance(msg, messages.Status):
-            self._node.heard(msg)
+            self._node.record_status(msg)
         elif isinstance(msg, messages.Watch):
             self._spawn(self._watch(session, msg))
-        elif isinstance(msg, messages.Ask):
+        elif isinstance(msg, messages.CommandRequest):
             self._on_ask(session, msg)
 
-    def _on_ask(self, session: _Session, msg: messages.Ask) -> None:
+    def _on_ask(self, session: _Session, msg: messages.CommandRequest) -> None:
         if session.asks >= _MAX_ASKS:
             session.conn.send(messages.Answer(number=msg.number, result=None))
             return
         session.asks += 1
         self._spawn(self._ask(session, msg))
 
-    async def _ask(self, session: _Session, msg: messages.Ask) -> None:
+    async def _ask(
+        self, session: _Session, msg: messages.CommandRequest
+    ) -> None:
         try:
-            result = await self._node.ask(msg.command)
+            result = await self._node.commit(msg.command)
         finally:
             session.asks -= 1
         session.conn.send(messages.Answer(number=msg.number, result=result))
@@ -121,7 +123,7 @@
                 await self._remove_silent()
 
     def _say_alive(self) -> None:
-        if not self._node.hears_quorum():
+        if not self._node.in_quorum_contact():
             # Cut off: whoever is fed here must find another replica.
             for session in list(self._sessions):
                 session.conn.close()
@@ -143,7 +145,7 @@
             seen = self._node.seen.get(member.name)
             if seen is None or now - seen[1] > MEMBER_LEASE_S:
                 self._node.seen.pop(member.name, None)
-                await self._node.ask(
+                await self._node.commit(
                     commands.Remove(
                         name=member.name, incarnation=member.incarnation
                     )
--- a/rackpost/coordinator/api.py
+++ b/rackpost/coordinator/api.py
@@ -165,7 +165,7 @@
         result = None
         try:
             async with asyncio.timeout(patience):
-                result = await self._node.ask(cmd)
+                result = await self._node.commit(cmd)
         except TimeoutError:
             # Whether it is taken is not known: it may be sent again.
             pass
--- a/rackpost/coordinator/commit_marks.py
+++ b/rackpost/coordinator/commit_marks.py
@@ -27,7 +27,7 @@
         self._disk = disk
         self._well = True
         # What the disk holds of this life.
-        self.written: storage.Mark | None = None
+        self.written: storage.CommitMark | None = None
 
     async def run(self) -> None:
         """Keep the mark until cancelled."""
@@ -39,9 +39,9 @@
             if await self._write(mark):
                 self.written = mark
 
-    async def _write(self, mark: storage.Mark) -> bool:
+    async def _write(self, mark: storage.CommitMark) -> bool:
         try:
-            await self._disk.note_committed(mark)
+            await self._disk.record_committed(mark)
         except exceptions.StorageError as exc:
             if self._well:
                 logs.say(
--- a/rackpost/coordinator/disk.py
+++ b/rackpost/coordinator/disk.py
@@ -79,7 +79,7 @@
 
 def open_disk(
     folder: pathlib.Path, *, host: str, first_hosts: tuple[str, ...]
-) -> tuple[storage.FileDisk, storage.Loaded]:
+) -> tuple[storage.FileDisk, storage.StoredState]:
     """The disk of this host's replica; a new replica if it has none.
 
     `first_hosts` are the voters of a site that starts for the first time;
--- a/rackpost/coordinator/members.py
+++ b/rackpost/coordinator/members.py
@@ -96,7 +96,7 @@
             if self._node.is_leader:
                 self._led_at = self._loop.time()
                 self._change_config()
-            elif self._node.hears_quorum():
+            elif self._node.in_quorum_contact():
                 self._led_at = self._loop.time()
             elif self._loop.time() - self._led_at > _LEADERLESS_S:
                 self._node.tell_all(messages.Join(replica=self._node.me))
@@ -140,12 +140,12 @@
             if now - at > _JOINING_S:
                 del self._joining[peer]
 
-    def _view(self) -> membership.View:
+    def _view(self) -> membership.ClusterView:
         config = self._node.config
-        return membership.View(
+        return membership.ClusterView(
             me=self._node.me,
             config=config,
-            silence={
+            silence_s={
                 peer: self._node.silence(peer)
                 for peer in config.everyone
                 if peer != self._node.me
--- a/rackpost/coordinator/overview.py
+++ b/rackpost/coordinator/overview.py
@@ -113,7 +113,7 @@
         replica=node.me,
         leader=node.leader or "",
         term=node.term,
-        hears_quorum=node.is_leader or node.hears_quorum(),
+        hears_quorum=node.is_leader or node.in_quorum_contact(),
         voters=tuple(node.config.voters),
         learners=tuple(node.config.learners),
         version=0 if routing is None else routing.version,
--- a/rackpost/coordinator/process.py
+++ b/rackpost/coordinator/process.py
@@ -71,7 +71,7 @@
             rng=random.Random(),
             copies=copies,
         )
-        self.node.other = self._on_other
+        self.node.on_other_message = self._on_other
         self.commit_marks = commit_marks.CommitMarks(
             node=self.node, disk=self._file_disk
         )
--- a/rackpost/coordinator/roles.py
+++ b/rackpost/coordinator/roles.py
@@ -133,7 +133,7 @@
 
     async def _take_fence(self) -> None:
         term = self._node.term
-        result = await self._node.ask(commands.TakeFence(holder=self._vm))
+        result = await self._node.commit(commands.TakeFence(holder=self._vm))
         if not isinstance(result, commands.Accepted):
             return
         self._fence = result.fence
--- a/rackpost/testing/cluster.py
+++ b/rackpost/testing/cluster.py
@@ -32,7 +32,7 @@
         self._batches: list[bytes] = []
         self.generation = 0
 
-    def load(self) -> storage.Loaded:
+    def load(self) -> storage.StoredState:
         """What a restarted replica finds."""
         snapshot = consensus.Snapshot(
             index=consensus.Index(0),
@@ -48,7 +48,7 @@
             batch = codec.Decoder(kinds=storage.Batch).decode(data)
             hard = batch.hard or hard
             storage.replay(log, batch)
-        return storage.Loaded(identity=self._identity, hard=hard, log=log)
+        return storage.StoredState(identity=self._identity, hard=hard, log=log)
 
     async def save(self, out: output.Output) -> None:
         """Sync an output; one that a crash cuts short is lost."""
--- a/spec/durable.py
+++ b/spec/durable.py
@@ -143,13 +143,13 @@
     ) -> tuple[str, ...] | None:
         voters, _, gone = state[:3]
         new = membership.next_config(
-            membership.View(
+            membership.ClusterView(
                 me=m.ReplicaId(leader),
                 config=m.Config(
                     voters=tuple(m.ReplicaId(peer) for peer in voters),
                     learners=(m.ReplicaId(learner),),
                 ),
-                silence={m.ReplicaId(peer): 9.0 for peer in gone},
+                silence_s={m.ReplicaId(peer): 9.0 for peer in gone},
                 caught_up=frozenset(
                     [m.ReplicaId(learner)]
                     if ready or self.fault == "no-catch-up"
--- a/tests/test_come_back.py
+++ b/tests/test_come_back.py
@@ -45,7 +45,9 @@
         client._ordered = lambda change: orders.append(change.order)
         tasks = [asyncio.create_task(client.run())]
         for item in group.up.values():
-            hints = platform.Hints(node=item.node, platform=_Listed())
+            hints = platform.LeavingVmOrders(
+                node=item.node, platform=_Listed()
+            )
             tasks.append(asyncio.create_task(hints.run()))
         await asyncio.sleep(7.0)
         assert not orders
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -34,7 +34,7 @@
     """Ask as an operator does: again, until there is an answer."""
     while True:
         for item in list(group.up.values()):
-            result = await item.node.ask(cmd)
+            result = await item.node.commit(cmd)
             if result is not None:
                 return result
         await asyncio.sleep(0.05)
@@ -150,7 +150,7 @@
         group.silence(old)
         new = await group.await_leader(but=old)
         await asyncio.sleep(0.05)
-        result = await group.up[new].node.ask(write("a"))
+        result = await group.up[new].node.commit(write("a"))
         assert isinstance(result, commands.Accepted)
         # The change is in force at the watcher within seven seconds.
         for _ in range(70):
@@ -159,7 +159,7 @@
                 break
         assert client.in_force.revision >= result.revision
         assert not await group.up[old].node.confirm_read()
-        assert not group.up[old].node.hears_quorum()
+        assert not group.up[old].node.in_quorum_contact()
         group.hear(old)
         await asyncio.sleep(2.0)
         assert group.up[old].node.machine.revision >= result.revision
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -46,7 +46,9 @@
         """
         nodes = [one.node for one in self.up.values()]
         known = {frozenset(node.config.voters) for node in nodes}
-        led = any(node.is_leader and node.hears_quorum() for node in nodes)
+        led = any(
+            node.is_leader and node.in_quorum_contact() for node in nodes
+        )
         return set(known.pop()) if led and len(known) == 1 else set()
 
     async def put_version(self, number: int, version: int) -> dict:
--- a/tests/test_large_records.py
+++ b/tests/test_large_records.py
@@ -49,7 +49,7 @@
     now = 10.0
     sizes = []
     for _ in range(400):
-        sends = leader.take().sends + follower.take().sends
+        sends = leader.take_output().sends + follower.take_output().sends
         if not sends:
             now += 0.01
             leader.tick(now)
@@ -96,7 +96,7 @@
     )
     found.receive(reply, 10.0)
     found.compact(found.applied, RECORD)
-    found.take()
+    found.take_output()
     return found
 
 
@@ -123,7 +123,7 @@
             now,
         )
         leader.tick(now)
-        sends = [s.msg for s in leader.take().sends if s.to == OTHER]
+        sends = [s.msg for s in leader.take_output().sends if s.to == OTHER]
         installs += sum(isinstance(msg, m.Install) for msg in sends)
         heartbeats += any(isinstance(msg, m.Append) for msg in sends)
     assert 1 <= installs <= 5
@@ -137,17 +137,21 @@
         sender=OTHER, term=m.Term(2), ok=False, match=m.Index(0), number=2
     )
     leader.receive(behind, 10.1)
-    assert any(isinstance(s.msg, m.Install) for s in leader.take().sends)
+    assert any(
+        isinstance(s.msg, m.Install) for s in leader.take_output().sends
+    )
     leader.relinked(OTHER)
     leader.tick(10.3)
-    assert any(isinstance(s.msg, m.Install) for s in leader.take().sends)
+    assert any(
+        isinstance(s.msg, m.Install) for s in leader.take_output().sends
+    )
 
 
 def test_a_replica_that_is_sent_a_snapshot_catches_up() -> None:
     leader, follower = compacted(40), replica(OTHER, 0)
     now = 10.2
     for _ in range(200):
-        sends = leader.take().sends + follower.take().sends
+        sends = leader.take_output().sends + follower.take_output().sends
         if not sends:
             now += 0.05
             leader.tick(now)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,15 +19,15 @@
     silent: str = "",
     behind: str = "",
     joining: str = "",
-) -> membership.View:
+) -> membership.ClusterView:
     config = m.Config(
         voters=ids(*voters.split()), learners=ids(*learners.split())
     )
     quiet = ids(*silent.split())
-    return membership.View(
+    return membership.ClusterView(
         me=config.voters[0],
         config=config,
-        silence={
+        silence_s={
             peer: 9.0 if peer in quiet else 0.1 for peer in config.everyone
         },
         caught_up=frozenset(config.learners) - frozenset(ids(*behind.split())),
@@ -105,7 +105,7 @@
 
 def test_what_was_committed_before_a_restart_is_applied_at_once() -> None:
     """And no more than that: what follows may still be cut off."""
-    out = _replica(3, ("a", "b", "c"), records=3, committed=2).take()
+    out = _replica(3, ("a", "b", "c"), records=3, committed=2).take_output()
     assert [entry.index for entry in out.committed] == [1, 2]
 
 
--- a/tests/test_one_bad_item.py
+++ b/tests/test_one_bad_item.py
@@ -45,10 +45,10 @@
         group = cluster.Cluster(names=("a", "b", "c"), seed=1)
         leader = group.up[await group.await_leader()].node
         async with asyncio.timeout(_MOST_S):
-            got = await leader.ask(commands.TakeFence(holder="a"))
+            got = await leader.commit(commands.TakeFence(holder="a"))
             assert isinstance(got, commands.Rejected)
             good = commands.SetRouting(version=3, source=b"{}")
-            assert isinstance(await leader.ask(good), commands.Accepted)
+            assert isinstance(await leader.commit(good), commands.Accepted)
             nodes = [item.node for item in group.up.values()]
             while not all(node.machine.routing for node in nodes):
                 await asyncio.sleep(0.01)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -37,7 +37,7 @@
     disk.close()
 
 
-def load(folder: pathlib.Path) -> storage.Loaded:
+def load(folder: pathlib.Path) -> storage.StoredState:
     disk = storage.FileDisk(folder=folder)
     try:
         return disk.load()
@@ -57,9 +57,9 @@
 
 def note(folder: pathlib.Path, index: int, term: int) -> None:
     """Keep a commit mark in a folder."""
-    mark = storage.Mark(index=m.Index(index), term=m.Term(term))
+    mark = storage.CommitMark(index=m.Index(index), term=m.Term(term))
     disk = storage.FileDisk(folder=folder)
-    asyncio.run(disk.note_committed(mark))
+    asyncio.run(disk.record_committed(mark))
 
 
 def test_what_is_known_to_be_committed_is_there_after_a_restart(
