--- a/rackpost/decide/deadlines.py
+++ b/rackpost/decide/deadline_queue.py
@@ -1,4 +1,4 @@
-"""Work for one resource, run by deadline: does more of it still fit?
+"""Jobs of one resource in deadline order, with a check that a job fits.
 
 Pure: times are readings of the owner's clock, in seconds.
 """
@@ -9,20 +9,24 @@
 
 from rackpost.decide import slots
 
-_OVERDUE = 2.0
+# An overdue job is assumed to run on for as long as it is overdue already.
+_OVERDUE_FACTOR = 2.0
 
 
 class Job(NamedTuple):
-    """Promised work, or what is left of it; sorts by its deadline."""
+    """A reserved job, or the rest of one; sorts by deadline.
+
+    A job of more than one chunk is run a chunk at a time.
+    """
 
     deadline: float
     key: slots.AttemptKey
     cost_s: float
-    parts: int = 1
+    chunks: int = 1
 
 
-class Deadlines:
-    """Jobs that are to be run one at a time, earliest deadline first."""
+class DeadlineQueue:
+    """Jobs that run one at a time, earliest deadline first."""
 
     def __init__(self) -> None:
         self._running = False
@@ -37,34 +41,36 @@
         return key in self._by_key
 
     def start(self, cost_s: float, now: float) -> None:
-        """A job, or a part of one, begins to run."""
+        """Record that a job, or a chunk of one, started."""
         self._running = True
         self._busy_until = now + cost_s
 
     def stop(self) -> None:
-        """What ran has ended."""
+        """Record that the running job ended."""
         self._running = False
 
     def free_at(self, now: float) -> float:
-        """When what runs should have ended.
+        """Return when the running job is expected to end.
 
-        What is overdue is taken to need as much again, and once more.
+        The estimate for an overdue job moves on as time passes.
         """
         if not self._running:
             return now
         over = now - self._busy_until
-        return self._busy_until if over <= 0.0 else now + _OVERDUE * over
+        return (
+            self._busy_until if over <= 0.0 else now + _OVERDUE_FACTOR * over
+        )
 
     def due_s(self, now: float) -> float:
-        """After how many seconds what runs was expected to have ended."""
+        """Return the seconds until the running job is due, 0 if overdue."""
         return max(0.0, self._busy_until - now) if self._running else 0.0
 
     def overdue_s(self, now: float) -> float:
-        """How long what runs is overdue."""
+        """Return by how many seconds the running job is overdue."""
         return max(0.0, now - self._busy_until) if self._running else 0.0
 
-    def late(self, now: float, grace_s: float) -> list[slots.AttemptKey]:
-        """The jobs that can no longer end in time."""
+    def infeasible(self, now: float, grace_s: float) -> list[slots.AttemptKey]:
+        """Return the jobs that will end `grace_s` or more too late."""
         found = []
         at = self.free_at(now)
         for job in self._jobs:
@@ -75,11 +81,14 @@
         return found
 
     def total_s(self) -> float:
-        """The work of all jobs, without the one that runs."""
+        """Return the cost of all queued jobs, without the running one."""
         return sum(job.cost_s for job in self._jobs)
 
     def ends_at(self, job: Job, now: float) -> float | None:
-        """When a new job would end; None if an older one would be late."""
+        """Return when a new job would end.
+
+        None if it would make a queued job miss its deadline.
+        """
         pos = bisect.bisect(self._jobs, job)
         at = self.free_at(now) + job.cost_s
         at += sum(item.cost_s for item in self._jobs[:pos])
@@ -91,30 +100,33 @@
         return ends
 
     def add(self, job: Job) -> None:
-        """Take a job in."""
+        """Queue a job."""
         bisect.insort(self._jobs, job)
         self._by_key[job.key] = job
 
     def replace(self, job: Job) -> None:
-        """Put what is left of a job in its place."""
+        """Replace the queued job that has the same key."""
         self.remove(job.key)
         self.add(job)
 
     def remove(self, key: slots.AttemptKey) -> None:
-        """Take a job out; one that is not there is ignored."""
+        """Remove a job; an unknown key is ignored."""
         job = self._by_key.pop(key, None)
         if job is not None:
             self._jobs.remove(job)
 
-    def room_s(self, slack_s: float, now: float) -> float:
-        """The longest job that would still fit with this slack."""
+    def longest_job_s(self, slack_s: float, now: float) -> float:
+        """Return the cost of the longest job that fits into `slack_s`.
+
+        No queued job would miss its deadline because of it.
+        """
         deadline = now + slack_s
         at = self.free_at(now)
-        room = deadline - at
+        longest_s = deadline - at
         for job in self._jobs:
             at += job.cost_s
             if job.deadline <= deadline:
-                room = deadline - at
+                longest_s = deadline - at
             else:
-                room = min(room, job.deadline - at)
-        return max(0.0, room)
+                longest_s = min(longest_s, job.deadline - at)
+        return max(0.0, longest_s)
--- a/rackpost/decide/prefill_queue.py
+++ b/rackpost/decide/prefill_queue.py
@@ -1,42 +1,48 @@
-"""The prefills promised by one endpoint, in order of their deadlines.
+"""The prefills reserved at one endpoint, in deadline order.
 
-A new prefill is promised only if it and every one promised before still
-ends by its deadline.  Pure: the caller hands in the reading of its clock,
-in seconds.
+A prefill is admitted only if it and every prefill reserved before it still
+end by their deadlines.
+
+Pure: times are readings of the caller's clock, in seconds.
 """
 
 import enum
 
-from rackpost.decide import deadlines
+from rackpost.decide import deadline_queue
 from rackpost.decide import slots
 from rackpost import types
 
-# However much urgent work comes, this is the most that is kept for it.
-_MOST_URGENT = 0.95
-# A job this little late is still run, in seconds.
+# Keeps some time for other work however much urgent work is expected.
+_MAX_URGENT_SHARE = 0.95
+# A prefill that ends this late is still useful.
 _GRACE_S = 0.02
-# Room is left for the denser work of this long, in seconds.
+# Capacity is kept for the requests of higher value density that are
+# expected within this time.
 _KEPT_S = 0.1
 
 
 class JobState(enum.Enum):
-    """How far a promised prefill has come; BEGUN: a part of it is done."""
+    """State of a reserved prefill.
+
+    RESERVED: its prompt has not arrived; PREEMPTED: at least one chunk is
+    done and the rest is queued.
+    """
 
-    PROMISED = "promised"
+    RESERVED = "promised"
     READY = "ready"
     RUNNING = "running"
-    BEGUN = "begun"
+    PREEMPTED = "begun"
 
 
 class PrefillQueue:
-    """The prefill work of one endpoint, which runs one job at a time.
+    """The prefills of one endpoint, run one at a time.
 
-    `max_jobs` bounds the queue whatever the deadlines.
+    `max_jobs` bounds the number of reserved prefills.
     """
 
     def __init__(self, *, max_jobs: int) -> None:
         self._max_jobs = max_jobs
-        self._jobs = deadlines.Deadlines()
+        self._jobs = deadline_queue.DeadlineQueue()
         self._state: dict[slots.AttemptKey, JobState] = {}
 
     def __len__(self) -> int:
@@ -44,18 +50,18 @@
 
     @property
     def running(self) -> bool:
-        """Whether a job is at the engine."""
+        """Whether a prefill runs at the engine."""
         return JobState.RUNNING in self._state.values()
 
     def backlog_s(self, now: float) -> float:
-        """Seconds of promised work, the running job's rest included."""
+        """Return the seconds of reserved work, the running job included."""
         return self._jobs.free_at(now) - now + self._jobs.total_s()
 
-    def room_s(self, slack_s: float, now: float) -> float:
-        """The longest prefill that could be promised within `slack_s`."""
-        return self._jobs.room_s(slack_s, now)
+    def longest_job_s(self, slack_s: float, now: float) -> float:
+        """Return the longest prefill that can be reserved in `slack_s`."""
+        return self._jobs.longest_job_s(slack_s, now)
 
-    def promise(
+    def reserve(
         self,
         *,
         key: slots.AttemptKey,
@@ -64,81 +70,81 @@
         urgent: float,
         denser: float,
         now: float,
-        parts: int = 1,
+        chunks: int = 1,
     ) -> float | types.Refusal:
-        """Promise a prefill; in how many seconds it is done, or why not.
+        """Reserve a prefill; return the seconds until it is done.
 
-        `urgent` is the share of the engine's time that requests which
-        count for more and are more urgent are expected to take: with what
-        they leave, the prefill must still end in time.  `denser` is the
-        share of those which count for more but come in their turn: room
-        for the next of them is left.
+        `urgent` is the share of the engine's time that is expected to go to
+        requests of higher value density with shorter targets: the prefill
+        must end in time with the rest.  `denser` is the share of those of
+        higher value density with targets no shorter: capacity for the next
+        of them is kept free.
         """
         if len(self) >= self._max_jobs:
             return types.Refusal.QUEUE_FULL
         if cost_s > within_s:
             return types.Refusal.LATE_FIRST_TOKEN
-        job = deadlines.Job(now + within_s, key, cost_s, parts)
+        job = deadline_queue.Job(now + within_s, key, cost_s, chunks)
         ends = self._jobs.ends_at(job, now)
         if ends is None or ends > job.deadline:
             return types.Refusal.QUEUE_FULL
-        left = 1.0 - min(urgent, _MOST_URGENT)
+        left = 1.0 - min(urgent, _MAX_URGENT_SHARE)
         if (ends - now) / left + denser * _KEPT_S > within_s:
             return types.Refusal.QUEUE_KEPT
         self._jobs.add(job)
-        self._state[key] = JobState.PROMISED
+        self._state[key] = JobState.RESERVED
         return ends - now
 
-    def ready(self, key: slots.AttemptKey) -> None:
-        """The prompt is here: the job may be taken by `next_job`."""
-        if self._state.get(key) is JobState.PROMISED:
+    def mark_ready(self, key: slots.AttemptKey) -> None:
+        """Record that the prompt arrived: `next_job` may return the job."""
+        if self._state.get(key) is JobState.RESERVED:
             self._state[key] = JobState.READY
 
     def next_job(self, now: float) -> slots.AttemptKey | None:
-        """Take the ready job with the earliest deadline, if any.
+        """Start the ready job with the earliest deadline, if any.
 
-        Of a long job only a part is taken; the rest stays in the queue,
-        where more urgent jobs may pass it.
+        Only one chunk of a long job is started; the rest stays queued, so
+        that more urgent jobs can run before it.
         """
         for job in self._jobs:
-            if self._state[job.key] in (JobState.READY, JobState.BEGUN):
-                self._take_part(job, now)
+            if self._state[job.key] in (JobState.READY, JobState.PREEMPTED):
+                self._start_chunk(job, now)
                 return job.key
         return None
 
-    def _take_part(self, job: deadlines.Job, now: float) -> None:
-        part_s = job.cost_s / job.parts
-        if job.parts == 1:
+    def _start_chunk(self, job: deadline_queue.Job, now: float) -> None:
+        chunk_s = job.cost_s / job.chunks
+        if job.chunks == 1:
             self._jobs.remove(job.key)
         else:
             rest = job._replace(
-                cost_s=job.cost_s - part_s, parts=job.parts - 1
+                cost_s=job.cost_s - chunk_s, chunks=job.chunks - 1
             )
             self._jobs.replace(rest)
-        self._jobs.start(part_s, now)
+        self._jobs.start(chunk_s, now)
         self._state[job.key] = JobState.RUNNING
 
-    def in_part(self, key: slots.AttemptKey) -> bool:
-        """Whether the running job has a rest in the queue."""
+    def has_more_chunks(self, key: slots.AttemptKey) -> bool:
+        """Whether further chunks of the running job are queued."""
         return key in self._jobs
 
-    def part_done(self, key: slots.AttemptKey) -> None:
-        """A part of the job is done; the rest waits for its turn."""
+    def chunk_done(self, key: slots.AttemptKey) -> None:
+        """Record the end of a chunk that is not the job's last one."""
         if self._state.get(key) is JobState.RUNNING:
-            self._state[key] = JobState.BEGUN
+            self._state[key] = JobState.PREEMPTED
             self._jobs.stop()
 
-    def late(self, now: float) -> list[slots.AttemptKey]:
-        """Jobs that have not begun and can no longer end in time."""
-        begun = (JobState.RUNNING, JobState.BEGUN)
+    def infeasible(self, now: float) -> list[slots.AttemptKey]:
+        """Return the jobs that have not started and can't end in time."""
+        started = (JobState.RUNNING, JobState.PREEMPTED)
         return [
             key
-            for key in self._jobs.late(now, _GRACE_S)
-            if self._state[key] not in begun
+            for key in self._jobs.infeasible(now, _GRACE_S)
+            if self._state[key] not in started
         ]
 
-    def end(self, key: slots.AttemptKey) -> None:
-        """The job ended or was given up; an unheld key is ignored."""
+    def release(self, key: slots.AttemptKey) -> None:
+        """Drop a finished or abandoned prefill; ignores unknown keys."""
         if self._state.pop(key, None) is JobState.RUNNING:
             self._jobs.stop()
         self._jobs.remove(key)
--- a/rackpost/decide/reservations.py
+++ b/rackpost/decide/reservations.py
@@ -1,7 +1,7 @@
-"""All promises of one endpoint: slots, memory, prefills and transfers.
+"""Reservations of one endpoint: slots, memory, prefills and transfers.
 
-The agent asks its book before it does anything; it holds no promises of
-its own.  Pure: times are readings of the agent's clock, in seconds.
+The agent consults its ledger before it accepts or starts any work.
+Pure: times are readings of the agent's clock, in seconds.
 """
 
 import abc
@@ -10,27 +10,28 @@
 from typing import NamedTuple
 
 from rackpost.decide import circuit_breaker
-from rackpost.decide import lengths
-from rackpost.decide import link_budget
+from rackpost.decide import length_histogram
 from rackpost.decide import prefill_queue
 from rackpost.decide import prefix
 from rackpost.decide import slots
+from rackpost.decide import transfer_queue
 from rackpost.link import messages
 from rackpost import types
 
-# Weight of the newest observation in the moving averages.
-_NEW = 0.1
+# Weight of the newest sample in moving averages.
+_EWMA_WEIGHT = 0.1
 
 
-# An endpoint that failed is tried with prompts of at most this length.
-_TRIAL_TOKENS = 1024
+# Bounds what is lost when a trial request after a failure fails too.
+_MAX_TRIAL_TOKENS = 1024
 
 
 class EndpointSpec(NamedTuple):
-    """What an endpoint can do, as its operator has stated it.
+    """Capacity of an endpoint, as its operator has configured it.
 
-    The rates are only where learning starts: the book follows what it
-    sees.
+    The rates are initial estimates, which the ledger corrects from what it
+    observes.  `max_prefills` bounds the queue of prefills, `chunk_tokens`
+    is the size of the chunks of a long prefill.
     """
 
     role: types.Role
@@ -46,14 +47,18 @@
 
 
 class ReservationTerms(NamedTuple):
-    """What was promised: ready in so many seconds, blocks reused."""
+    """A granted reservation.
+
+    `ready_in_s` is when the prefill is done or the slot is free,
+    `reuse_blocks` the number of prompt blocks that are already cached.
+    """
 
     ready_in_s: float
     reuse_blocks: int
 
 
 class EndpointLedger(abc.ABC):
-    """The decisions of an agent about its endpoint."""
+    """Decides what an endpoint accepts and when it starts it."""
 
     def __init__(self, *, spec: EndpointSpec) -> None:
         self.spec = spec
@@ -66,150 +71,149 @@
     def reserve(
         self, msg: messages.Reserve, key: slots.AttemptKey, now: float
     ) -> ReservationTerms | types.Refusal:
-        """Promise the part that `msg` asks for, or say why not."""
+        """Reserve what `msg` requests, or return why it is refused."""
 
     @abc.abstractmethod
     def mark_ready(self, key: slots.AttemptKey) -> None:
-        """What the promised part needs has arrived: it may start."""
+        """Record that the input of reserved work arrived: it may start."""
 
     @abc.abstractmethod
     def next_start(self, now: float) -> slots.AttemptKey | None:
-        """Take the promised part that is to be started now, if any."""
+        """Take the reserved work that is to be started now, if any."""
 
     def chunk_tokens(self, key: slots.AttemptKey) -> int | None:
-        """How many tokens of a started prefill to run now; None: all."""
+        """Return the tokens of a started prefill to run now; None: all."""
         return None
 
     def chunk_done(self, key: slots.AttemptKey) -> None:
-        """A part of a prefill is done; `next_start` gives it again."""
+        """Requeue a prefill after a chunk; `next_start` returns it again."""
 
     def wake_in_s(self, now: float) -> float | None:
-        """When `next_start` may have something without any message."""
+        """Return after how many seconds to call `next_start`, if known."""
         return None
 
     def infeasible(self, now: float) -> list[slots.AttemptKey]:
-        """Promised parts, not begun, that can't be kept any more."""
+        """Return reservations, not started, that can't be honoured."""
         return []
 
     @abc.abstractmethod
     def record_progress(
         self, key: slots.AttemptKey, done: int, step_s: float, now: float
     ) -> None:
-        """A decode has made `done` tokens, the last in `step_s`."""
+        """Record that a decode has `done` tokens, the last in `step_s`."""
 
     @abc.abstractmethod
     def record_prefill(self, key: slots.AttemptKey, took_s: float) -> None:
-        """A prefill took this long."""
+        """Record how long a prefill took."""
 
     @abc.abstractmethod
     def release(
         self, key: slots.AttemptKey, now: float, *, completed: bool
     ) -> None:
-        """The attempt is over here, `completed` or not."""
+        """Release all that an attempt holds, `completed` or not."""
 
     def engine_queue_s(self, now: float) -> float:
-        """Seconds of work that wait within the engine itself."""
+        """Return the seconds of work that are queued inside the engine."""
         return 0.0
 
     @abc.abstractmethod
     def load(self, now: float) -> messages.Load:
-        """What to tell entries."""
+        """Return the load to report to entries."""
 
 
 class ReservationLedger(EndpointLedger):
-    """The product's book: no work without a promise it can keep."""
+    """Accepts only work that is expected to meet its deadline."""
 
     def __init__(self, *, spec: EndpointSpec) -> None:
         super().__init__(spec=spec)
         self._slots = slots.SlotLedger(
             slots=spec.slots, memory_tokens=spec.memory_tokens
         )
-        self._queue = prefill_queue.PrefillQueue(max_jobs=spec.max_prefills)
-        self._link = link_budget.LinkBudget(bytes_s=spec.link_bytes_s)
-        self._models = lengths.LengthModels()
+        self._prefills = prefill_queue.PrefillQueue(max_jobs=spec.max_prefills)
+        self._link = transfer_queue.TransferQueue(bytes_s=spec.link_bytes_s)
+        self._lengths = length_histogram.LengthHistograms()
         self._cached = prefix.PrefixHints(max_blocks=spec.cache_blocks)
-        self._asked: dict[slots.AttemptKey, messages.Reserve] = {}
+        self._requests: dict[slots.AttemptKey, messages.Reserve] = {}
         self._cost: dict[slots.AttemptKey, float] = {}
         self._ready: list[tuple[float, slots.AttemptKey]] = []
-        self._due: dict[slots.AttemptKey, float] = {}
+        self._deadlines: dict[slots.AttemptKey, float] = {}
         self._step_s = spec.step_s
-        # Observed over stated time of prefills; follows a slow engine.
+        # Moving average of observed over configured prefill time.
         self._slowness = 1.0
 
     def reserve(
         self, msg: messages.Reserve, key: slots.AttemptKey, now: float
     ) -> ReservationTerms | types.Refusal:
-        """Promise a prefill, a decode slot, or a call."""
+        """Reserve a prefill, a decode slot or a call."""
         if self.leaving:
             return types.Refusal.LEAVING
         if msg.part is not self.role:
             return types.Refusal.WRONG_ROLE
-        if not self._sound_for(msg, now):
+        if not self._breaker_allows(msg, now):
             return types.Refusal.ENDPOINT_AVOIDED
-        if key in self._asked:
+        if key in self._requests:
             return types.Refusal.QUEUE_FULL
         if msg.part is types.Role.PREFILL:
-            made = self._promise_prefill(msg, key, now)
+            result = self._reserve_prefill(msg, key, now)
         else:
-            made = self._promise_slot(msg, key, now)
-        if isinstance(made, ReservationTerms):
+            result = self._reserve_slot(msg, key, now)
+        if isinstance(result, ReservationTerms):
             self.health.record_attempt(now)
-            self._asked[key] = msg
-            self._due[key] = now + msg.within_s
-        return made
+            self._requests[key] = msg
+            self._deadlines[key] = now + msg.within_s
+        return result
 
-    def _sound_for(self, msg: messages.Reserve, now: float) -> bool:
+    def _breaker_allows(self, msg: messages.Reserve, now: float) -> bool:
         state = self.health.state(now)
         if state is circuit_breaker.State.HALF_OPEN:
-            # A trial that fails costs its prefill: let it be a short one.
-            return msg.prompt_tokens <= _TRIAL_TOKENS
+            return msg.prompt_tokens <= _MAX_TRIAL_TOKENS
         return state is circuit_breaker.State.CLOSED
 
-    def _promise_prefill(
+    def _reserve_prefill(
         self, msg: messages.Reserve, key: slots.AttemptKey, now: float
     ) -> ReservationTerms | types.Refusal:
         reuse = self._cached.match(msg.blocks)
-        rest = max(1, msg.prompt_tokens - reuse * prefix.BLOCK_TOKENS)
-        parts = self._parts(rest)
-        cost = self._prefill_cost(rest, parts)
-        done = self._queue.promise(
+        uncached = max(1, msg.prompt_tokens - reuse * prefix.BLOCK_TOKENS)
+        chunks = self._chunks(uncached)
+        cost = self._prefill_cost_s(uncached, chunks)
+        result = self._prefills.reserve(
             key=key,
             cost_s=cost,
             within_s=msg.within_s,
             urgent=msg.urgent,
             denser=msg.denser,
             now=now,
-            parts=parts,
+            chunks=chunks,
         )
-        if isinstance(done, types.Refusal):
-            return done
+        if isinstance(result, types.Refusal):
+            return result
         self._cost[key] = cost
-        return ReservationTerms(done, reuse)
+        return ReservationTerms(result, reuse)
 
-    def _parts(self, tokens: int) -> int:
-        segment = self.spec.chunk_tokens
-        return max(1, round(tokens / segment)) if segment else 1
+    def _chunks(self, tokens: int) -> int:
+        size = self.spec.chunk_tokens
+        return max(1, round(tokens / size)) if size else 1
 
-    def _prefill_cost(self, tokens: int, parts: int) -> float:
+    def _prefill_cost_s(self, tokens: int, chunks: int) -> float:
         spec = self.spec
-        cost = parts * spec.prefill_base_s + tokens / spec.prefill_tokens_s
+        cost = chunks * spec.prefill_base_s + tokens / spec.prefill_tokens_s
         return cost * self._slowness
 
-    def _promise_slot(
+    def _reserve_slot(
         self, msg: messages.Reserve, key: slots.AttemptKey, now: float
     ) -> ReservationTerms | types.Refusal:
-        link = 0.0
+        link_wait = 0.0
         transfer = msg.kv_bytes / self.spec.link_bytes_s
         if msg.kv_bytes:
-            made = self._link.promise(
+            result = self._link.reserve(
                 key=key, size=msg.kv_bytes, within_s=msg.within_s, now=now
             )
-            if isinstance(made, types.Refusal):
-                return made
-            link = made - transfer
-        wait = self._slots.promise(
+            if isinstance(result, types.Refusal):
+                return result
+            link_wait = result - transfer
+        slot_wait = self._slots.reserve(
             key=key,
-            model=self._models.of(msg.service, msg.kind),
+            lengths=self._lengths.of(msg.service, msg.kind),
             limit=max(1, msg.max_tokens),
             memory=msg.prompt_tokens + msg.max_tokens,
             within_s=msg.within_s - transfer,
@@ -218,27 +222,27 @@
             denser_rate=msg.denser,
             now=now,
         )
-        if isinstance(wait, types.Refusal):
-            self._link.end(key)
-            return wait
-        return ReservationTerms(max(wait, link), 0)
+        if isinstance(slot_wait, types.Refusal):
+            self._link.release(key)
+            return slot_wait
+        return ReservationTerms(max(slot_wait, link_wait), 0)
 
     def mark_ready(self, key: slots.AttemptKey) -> None:
-        """The prompt, or the KV cache, of a promised part is there."""
-        if key not in self._asked:
+        """Record that the prompt or the KV cache is available."""
+        if key not in self._requests:
             return
         if self.role is types.Role.PREFILL:
-            self._queue.ready(key)
+            self._prefills.mark_ready(key)
         else:
-            heapq.heappush(self._ready, (self._due[key], key))
+            heapq.heappush(self._ready, (self._deadlines[key], key))
 
     def next_start(self, now: float) -> slots.AttemptKey | None:
-        """Take the next prefill, decode or call to hand over, if any."""
+        """Take the next prefill, decode or call to start, if any."""
         if self.role is types.Role.PREFILL:
             return self._next_prefill(now)
         while self._ready:
             key = self._ready[0][1]
-            if key not in self._asked:
+            if key not in self._requests:
                 heapq.heappop(self._ready)
                 continue
             if not self._slots.may_start() or self._link_busy(now):
@@ -250,83 +254,85 @@
         return None
 
     def _link_busy(self, now: float) -> bool:
-        # The end of a transfer shows some steps late, in the first token;
-        # by then the next one should be moving.
+        # The first token shows the end of a transfer some steps late, so a
+        # transfer that is due is taken as done unless it has stalled.
         return self._link.due_s(now) > 0.0 or self._link.stalled(now)
 
     def chunk_tokens(self, key: slots.AttemptKey) -> int | None:
-        """The tokens of the part that was started; None: all the rest."""
-        if self.role is types.Role.PREFILL and self._queue.in_part(key):
+        """Return the tokens of the started chunk; None: all that is left."""
+        if self.role is types.Role.PREFILL and self._prefills.has_more_chunks(
+            key
+        ):
             return self.spec.chunk_tokens
         return None
 
     def chunk_done(self, key: slots.AttemptKey) -> None:
-        """Put the rest of the prefill back into the queue."""
-        self._queue.part_done(key)
+        """Requeue the rest of the prefill."""
+        self._prefills.chunk_done(key)
 
     def _next_prefill(self, now: float) -> slots.AttemptKey | None:
-        if self._queue.running:
+        if self._prefills.running:
             return None
-        return self._queue.next_job(now)
+        return self._prefills.next_job(now)
 
     def wake_in_s(self, now: float) -> float | None:
-        """When the transfer that moves should be done, if one waits."""
+        """Return when the running transfer is due, if others are ready."""
         busy = self._link.due_s(now)
         return busy if busy > 0.0 and self._ready else None
 
     def record_progress(
         self, key: slots.AttemptKey, done: int, step_s: float, now: float
     ) -> None:
-        """Take in a token and the time since the one before it."""
-        self._slots.progress(key, done)
+        """Record a token and the time since the one before it."""
+        self._slots.record_progress(key, done)
         if done == 1:
-            self._link.end(key)
+            self._link.release(key)
         elif step_s > 0.0:
-            self._step_s += _NEW * 0.2 * (step_s - self._step_s)
+            self._step_s += _EWMA_WEIGHT * 0.2 * (step_s - self._step_s)
 
     def infeasible(self, now: float) -> list[slots.AttemptKey]:
-        """Promises to give back while there is time for another try."""
+        """Return reservations to fail while another endpoint has time."""
         if self.role is types.Role.PREFILL:
-            return self._queue.late(now)
+            return self._prefills.infeasible(now)
         if self._link.stalled(now):
-            # Also those whose prefill still runs: it can be stopped.
-            return self._slots.promised()
+            # Includes those whose prefill still runs elsewhere.
+            return self._slots.reserved()
         return []
 
     def record_prefill(self, key: slots.AttemptKey, took_s: float) -> None:
-        """Take in how long a prefill took."""
+        """Record how long a prefill took and that its blocks are cached."""
         cost = self._cost.get(key)
-        msg = self._asked.get(key)
+        msg = self._requests.get(key)
         if cost is None or msg is None:
             return
-        seen = self._slowness * took_s / cost
-        self._slowness += _NEW * (seen - self._slowness)
+        observed = self._slowness * took_s / cost
+        self._slowness += _EWMA_WEIGHT * (observed - self._slowness)
         self._cached.add(msg.blocks)
 
     def release(
         self, key: slots.AttemptKey, now: float, *, completed: bool
     ) -> None:
-        """Let go of everything the attempt holds here."""
-        self._asked.pop(key, None)
-        self._due.pop(key, None)
+        """Release all that the attempt holds; ignores unknown keys."""
+        self._requests.pop(key, None)
+        self._deadlines.pop(key, None)
         self._cost.pop(key, None)
-        self._link.end(key)
-        self._slots.end(key, whole=completed)
-        self._queue.end(key)
+        self._link.release(key)
+        self._slots.release(key, completed=completed)
+        self._prefills.release(key)
 
     def record_cache_events(
         self,
         stored: tuple[types.BlockHash, ...],
         removed: tuple[types.BlockHash, ...],
     ) -> None:
-        """The endpoint says what it cached and dropped, late."""
+        """Record the blocks that the endpoint has cached and evicted."""
         self._cached.drop(removed)
         self._cached.add(stored)
 
     def load(self, now: float) -> messages.Load:
-        """The endpoint's load as its promises stand."""
+        """Return the endpoint's load, reservations included."""
         spec = self.spec
-        wait = self._slots.free_in(step_s=self._step_s, now=now)
+        slot_wait = self._slots.available_in_s(step_s=self._step_s, now=now)
         return messages.Load(
             role=self.role,
             revision=self.revision,
@@ -334,18 +340,20 @@
             avoided=self.health.state(now) is circuit_breaker.State.OPEN,
             slots=spec.slots,
             used=self._slots.used,
-            free_in_s=wait,
-            backlog_s=self._queue.backlog_s(now),
+            free_in_s=slot_wait,
+            backlog_s=self._prefills.backlog_s(now),
             link_backlog_s=self._link.backlog_s(now),
             step_s=self._step_s,
             prefill_tokens_s=spec.prefill_tokens_s / self._slowness,
             prefill_base_s=spec.prefill_base_s * self._slowness,
             link_bytes_s=spec.link_bytes_s,
-            room_s=self._room_s(now),
+            room_s=self._longest_jobs_s(now),
         )
 
-    def _room_s(self, now: float) -> tuple[float, ...]:
-        room_s = self._link.room_s
+    def _longest_jobs_s(self, now: float) -> tuple[float, ...]:
+        longest_job_s = self._link.longest_job_s
         if self.role is types.Role.PREFILL:
-            room_s = self._queue.room_s
-        return tuple(room_s(slack, now) for slack in messages.ROOM_SLACKS_S)
+            longest_job_s = self._prefills.longest_job_s
+        return tuple(
+            longest_job_s(slack, now) for slack in messages.ROOM_SLACKS_S
+        )
