--- a/rackpost/decide/capacity.py
+++ b/rackpost/decide/capacity.py
@@ -1,7 +1,4 @@
-"""What a pool of endpoints can do, and what a request costs of it.
-
-Pure.
-"""
+"""Capacity of a pool of endpoints, and a request's share of it."""
 
 from typing import NamedTuple
 from typing import Sequence
@@ -9,11 +6,15 @@
 from rackpost.decide import endpoint_view
 from rackpost import types
 
-_LEAST_COST_S = 1e-6
+# Keeps value densities finite.
+_MIN_COST_S = 1e-6
 
 
 class PoolCapacity(NamedTuple):
-    """A pool: its endpoints, and what they do together in a second."""
+    """Number of endpoints in a pool, and their total rates a second.
+
+    `prefill_base_s` is the mean fixed cost of one prefill.
+    """
 
     prefill_endpoints: int
     decode_endpoints: int
@@ -22,16 +23,16 @@
     slot_tokens_s: float
 
     def prefill_s(self, tokens: int) -> float:
-        """Seconds of one endpoint that a prefill of `tokens` takes."""
+        """Return the seconds that a prefill takes at a mean endpoint."""
         if not self.prefill_endpoints:
             return 0.0
-        each = self.prefill_tokens_s / self.prefill_endpoints
-        return self.prefill_base_s + tokens / each
+        per_endpoint = self.prefill_tokens_s / self.prefill_endpoints
+        return self.prefill_base_s + tokens / per_endpoint
 
     def cost(self, prefill_s: float, max_tokens: int) -> float:
-        """Seconds of the whole pool that a request takes.
+        """Return the seconds of the whole pool that a request takes.
 
-        Of its two halves the one that takes the larger share counts.
+        This is the larger of its prefill and its decode cost.
         """
         pre = (
             prefill_s / self.prefill_endpoints
@@ -39,11 +40,11 @@
             else 0.0
         )
         dec = max_tokens / self.slot_tokens_s if self.decode_endpoints else 0.0
-        return max(pre, dec, _LEAST_COST_S)
+        return max(pre, dec, _MIN_COST_S)
 
 
 def of_pool(pool: Sequence[endpoint_view.EndpointView]) -> PoolCapacity:
-    """The capacity of all endpoints of a service that are not leaving."""
+    """Return the capacity of the endpoints that are not leaving."""
     prefills = decodes = 0
     tokens_s = base_s = slot_tokens_s = 0.0
     for view in pool:
--- a/rackpost/decide/circuit_breaker.py
+++ b/rackpost/decide/circuit_breaker.py
@@ -1,6 +1,6 @@
-"""Which endpoints to avoid, from what their own streams show.
+"""Circuit breakers that stop requests to endpoints that fail or are slow.
 
-Pure: times are readings of the entry's clock, in seconds.
+Pure: times are readings of the owner's clock, in seconds.
 """
 
 import enum
@@ -9,15 +9,16 @@
 from rackpost import types
 
 _FIRST_S = 1.0
-_LONGEST_S = 30.0
-# An endpoint is taken as slow when its answers take this many times what
-# was predicted, averaged over about the last ten.
+_MAX_PAUSE_S = 30.0
+# An endpoint counts as failed when it takes this many times as long as
+# predicted, averaged over about ten answers.
 _SLOW_RATIO = 3.0
-_NEW = 0.2
+# Weight of the newest sample in the moving average.
+_EWMA_WEIGHT = 0.2
 
 
 class State(enum.Enum):
-    """How an entry treats an endpoint."""
+    """State of a circuit breaker."""
 
     CLOSED = "good"
     OPEN = "avoided"
@@ -25,7 +26,7 @@
 
 
 class CircuitBreaker:
-    """What one entry has seen of one endpoint."""
+    """Failures, slowness and requested back-off of one endpoint."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -33,22 +34,18 @@
         self._until = 0.0
         self._pause_s = _FIRST_S
         self._ratio = 1.0
-        # Until then it wants no requests, as it said itself.
-        self._quiet_until = 0.0
+        self._backoff_until = 0.0
 
     def record_backoff(self, backoff_s: float, now: float) -> None:
-        """It asked for so many seconds without requests."""
-        self._quiet_until = max(self._quiet_until, now + backoff_s)
+        """Record that the endpoint requested a back-off."""
+        self._backoff_until = max(self._backoff_until, now + backoff_s)
 
     def in_backoff(self, now: float) -> bool:
-        """Whether it wants no requests now: no fault of its own."""
-        return now < self._quiet_until
+        """Whether a requested back-off lasts; it is no failure."""
+        return now < self._backoff_until
 
     def state(self, now: float) -> State:
-        """Whether the endpoint may be chosen.
-
-        In TRIAL it may be given one request, which then decides.
-        """
+        """Return the state; HALF_OPEN allows one trial request."""
         if self.in_backoff(now):
             return State.OPEN
         if self._state is State.OPEN and now >= self._until:
@@ -56,30 +53,30 @@
         return self._state
 
     def record_attempt(self, now: float) -> None:
-        """The trial request was sent; no other until it has ended."""
+        """Record a sent request; if it is the trial, no other may follow."""
         if self.state(now) is State.HALF_OPEN:
             self._until = now + self._pause_s
 
     def record_failure(self, now: float) -> None:
-        """An attempt broke through the endpoint's own fault."""
+        """Record an attempt that failed through the endpoint's fault."""
         again = self._state is State.OPEN
         if again and now < self._until - self._pause_s * 0.5:
-            # Streams that broke together count as one failure.
+            # Attempts that fail together count as one failure.
             return
         if again:
-            self._pause_s = min(_LONGEST_S, self._pause_s * 2)
-        self._avoid(now)
+            self._pause_s = min(_MAX_PAUSE_S, self._pause_s * 2)
+        self._open(now)
 
-    def _avoid(self, now: float) -> None:
+    def _open(self, now: float) -> None:
         self._state = State.OPEN
         self._until = now + self._pause_s * (0.75 + 0.5 * self._rng.random())
 
     def record_success(
         self, *, took_s: float, predicted_s: float, now: float
     ) -> None:
-        """A part was done; `predicted_s` is what had been expected."""
+        """Record a success; one that is too slow may open the breaker."""
         ratio = took_s / max(predicted_s, 0.001)
-        self._ratio += _NEW * (min(ratio, 10.0) - self._ratio)
+        self._ratio += _EWMA_WEIGHT * (min(ratio, 10.0) - self._ratio)
         if self._ratio > _SLOW_RATIO:
             self._ratio = 1.0
             self.record_failure(now)
@@ -89,14 +86,14 @@
 
 
 class CircuitBreakers:
-    """The health of every endpoint that an entry knows."""
+    """The circuit breaker of each endpoint that an entry knows."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
         self._all: dict[types.AgentId, CircuitBreaker] = {}
 
     def of(self, agent: types.AgentId) -> CircuitBreaker:
-        """The health of one endpoint."""
+        """Return the breaker of an endpoint, creating it on first use."""
         found = self._all.get(agent)
         if found is None:
             found = CircuitBreaker(rng=self._rng)
@@ -104,5 +101,5 @@
         return found
 
     def forget(self, agent: types.AgentId) -> None:
-        """The endpoint is no longer a member."""
+        """Drop the breaker of an endpoint that is no longer a member."""
         self._all.pop(agent, None)
--- a/rackpost/decide/declared_events.py
+++ b/rackpost/decide/declared_events.py
@@ -1,9 +1,10 @@
-"""Declared events: which rates to expect at a moment.
+"""Request rates to expect from events that an operator has declared.
 
-A crowd that comes late, early, twice as large or not at all must do less
-harm than one that was not declared: room is kept from a little before
-the start, and only on the crowd's own showing after a little while.
-Pure: `now` and starts are in seconds since the epoch.
+Capacity is kept from shortly before the start of an event.  An event whose
+requests do not come soon after its start is ignored, so that a late or
+cancelled one does little harm.
+
+Pure: times are in seconds since the epoch.
 """
 
 from typing import Iterable
@@ -12,17 +13,16 @@
 
 from rackpost import types
 
-# Room is kept from this long before the start: about as long as a slot
-# or a long prefill that is given away now stays taken.
+# About as long as a slot or a long prefill granted now stays occupied.
 LEAD_S = 0.5
-# A crowd that has not come this long after the start is not waited for.
-PATIENCE_S = 1.0
-# It has come when this share of the declared rate is seen.
-_SHOWN = 0.2
+# Time after the start in which an event counts before it is observed.
+NO_SHOW_AFTER_S = 1.0
+# An event is observed at this share of its declared rate.
+_MIN_OBSERVED_SHARE = 0.2
 
 
 class DeclaredEvent(NamedTuple):
-    """An event as far as it matters for admission; rate a second."""
+    """An event's time, its kinds and their total requests a second."""
 
     start: float
     length_s: float
@@ -36,19 +36,19 @@
     seen: Mapping[types.KindName, float],
     now: float,
 ) -> dict[types.KindName, float]:
-    """Requests a second to expect of each kind, of the whole site.
+    """Return the requests a second to expect of each kind, site-wide.
 
-    `seen` is the present rate of each kind, of the whole site.  An
-    event's rate is spread evenly over its kinds.
+    `seen` has the present site-wide rates.  The rate of an event is split
+    evenly among its kinds.
     """
-    found: dict[types.KindName, float] = {}
+    rates: dict[types.KindName, float] = {}
     for event in events:
         if not event.start - LEAD_S <= now < event.start + event.length_s:
             continue
         share = event.rate / max(1, len(event.kinds))
-        waited = now > event.start + PATIENCE_S
+        overdue = now > event.start + NO_SHOW_AFTER_S
         for kind in event.kinds:
-            if waited and seen.get(kind, 0.0) < _SHOWN * share:
+            if overdue and seen.get(kind, 0.0) < _MIN_OBSERVED_SHARE * share:
                 continue
-            found[kind] = max(found.get(kind, 0.0), share)
-    return found
+            rates[kind] = max(rates.get(kind, 0.0), share)
+    return rates
--- a/rackpost/decide/endpoint_view.py
+++ b/rackpost/decide/endpoint_view.py
@@ -1,4 +1,4 @@
-"""What an entry knows of each endpoint, and of the request in hand."""
+"""What an entry knows of an endpoint, and what a request requires of it."""
 
 import bisect
 
@@ -11,11 +11,11 @@
 
 
 class EndpointView:
-    """An entry's latest knowledge of one endpoint.
+    """The latest load that an endpoint reported to this entry.
 
-    `delay_s` is the one-way delay to its data centre, `updated_at` the clock
-    reading when `load` was said.  `sent` counts what this entry has put
-    there since, so that a burst does not follow one stale figure.
+    `delay_s` is the one-way delay to its data centre, `updated_at` when
+    `load` was received.  `sent_slots` and `sent_work_s` are what this entry
+    has sent there since, so that a burst does not follow a stale report.
     """
 
     def __init__(
@@ -41,54 +41,60 @@
         self.avoided = False
 
     def update(self, load: messages.Load, now: float) -> None:
-        """The agent has said its load."""
+        """Store a load that the agent reported."""
         self.load = load
         self.updated_at = now
         self.sent_slots = 0
         self.sent_work_s = 0.0
 
     def backlog_s(self, now: float) -> float:
-        """The prefill work that a new request would find there."""
-        past = self.load.backlog_s + self.sent_work_s
-        return max(0.0, past - (now - self.updated_at))
+        """Return the prefill work that is ahead of a new request."""
+        reported = self.load.backlog_s + self.sent_work_s
+        return max(0.0, reported - (now - self.updated_at))
 
     def longest_job_s(self, slack_s: float, now: float) -> float:
-        """The longest prefill or transfer that it probably has room for."""
-        rooms = self.load.room_s
-        if not rooms:
+        """Estimate the longest prefill or transfer that ends in `slack_s`.
+
+        Interpolates between the slacks for which the agent reports it.
+        """
+        longest_s = self.load.room_s
+        if not longest_s:
             return slack_s - self.backlog_s(now)
         slacks = messages.ROOM_SLACKS_S
         at = bisect.bisect_right(slacks, slack_s) - 1
         if at < 0:
-            room = rooms[0] * slack_s / slacks[0]
+            estimate = longest_s[0] * slack_s / slacks[0]
         elif at + 1 >= len(slacks):
-            room = rooms[-1]
+            estimate = longest_s[-1]
         else:
             part = (slack_s - slacks[at]) / (slacks[at + 1] - slacks[at])
-            room = rooms[at] + part * (rooms[at + 1] - rooms[at])
-        # What was sent since is ahead; what has passed was worked off.
-        return room - self.sent_work_s + min(now - self.updated_at, 0.05)
+            estimate = longest_s[at] + part * (
+                longest_s[at + 1] - longest_s[at]
+            )
+        # Work sent since the report is ahead; since then the endpoint has
+        # also finished some.
+        return estimate - self.sent_work_s + min(now - self.updated_at, 0.05)
 
     def slot_wait_s(self, now: float) -> float:
-        """In how many seconds a decode slot is expected there."""
+        """Return the seconds until a decode slot is expected there."""
         if self.load.used + self.sent_slots < self.load.slots:
             return 0.0
         more = self.sent_slots * self.load.step_s
         return max(0.0, self.load.free_in_s + more - (now - self.updated_at))
 
     def prefill_s(self, tokens: int, blocks: tuple) -> float:
-        """Seconds to prefill a prompt there, cached prefix left out."""
+        """Return the seconds to prefill the uncached rest of a prompt."""
         cached = self.prefix_hints.match(blocks) * prefix.BLOCK_TOKENS
-        rest = max(1, tokens - cached)
-        return self.load.prefill_base_s + rest / self.load.prefill_tokens_s
+        uncached = max(1, tokens - cached)
+        return self.load.prefill_base_s + uncached / self.load.prefill_tokens_s
 
 
 class Requirements:
-    """What a request needs, as the decisions see it.
+    """What a request requires of its endpoints.
 
-    `ttft_s` is what is left until the first token is due, `tbt_s` the
-    promised time between tokens, both in seconds; `higher_density` is what is
-    expected of requests that count for more, for one endpoint.
+    `ttft_s` is the time left until the first token is due, `tbt_s` the
+    promised time between tokens, both in seconds; `higher_density` is the
+    expected demand of requests of higher value density per endpoint.
     """
 
     __slots__ = (
--- a/rackpost/decide/placement.py
+++ b/rackpost/decide/placement.py
@@ -1,9 +1,7 @@
-"""Where a request goes: prefill endpoint, decode endpoint, link together.
+"""Chooses the prefill and the decode endpoint of a request together.
 
-The cost of a pair is the predicted time to the first token.  Counting
-uncached tokens, transfer and queue follows the cost of the paper (PAPER,
-"The Routing Decision"); taking both endpoints and the link at once, and
-the moment a slot frees, is rackpost's own.
+The cost of a pair follows its predicted time to the first token: queues,
+prefill of uncached tokens, KV transfer and the wait for a decode slot.
 """
 
 import abc
@@ -16,19 +14,19 @@
 from rackpost.decide import endpoint_view
 from rackpost import types
 
-# Pairs are only formed among this many of the best of each pool, which
-# bounds the time of a decision however large the pools are.
-_SHORT_LIST = 4
-# Of a larger pool only this many, drawn by chance, are looked at: the best
-# of many is nearly as good as the best of all (Mitzenmacher, 2001).
-_LARGE_POOL = 24
-# Predictions that differ by less than this are taken as equal, so that
-# entries with the same figures do not all choose the same endpoint.
+# Pairs are formed among this many candidates of each role, which bounds the
+# time of a decision.
+_MAX_CANDIDATES = 4
+# Only this many endpoints of a larger pool are considered, drawn at random:
+# the best of many is nearly as good as the best of all (Mitzenmacher, 2001).
+_MAX_SAMPLE = 24
+# Random tie-breaker, so that entries with the same view do not all choose
+# the same endpoint.
 _TIE_S = 0.005
 
 
 class Placement(NamedTuple):
-    """Where a request goes; for a plain service `prefill` is None.
+    """The chosen endpoints; `prefill` is None for a plain service.
 
     `ready_in_s` is when the prefill is expected to end, `ttft_s` the
     predicted time to the first token.
@@ -52,7 +50,7 @@
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> Placement | types.Refusal:
-        """Choose among `pool`, all of the service, or say why not."""
+        """Choose from `pool`, all endpoints of the service, or refuse."""
 
 
 def eligible(
@@ -60,9 +58,9 @@
     role: types.Role,
     excluded: Collection[types.AgentId],
 ) -> list[endpoint_view.EndpointView]:
-    """The endpoints of `role` that may be chosen.
+    """Return the endpoints of `role` that may be chosen.
 
-    Avoided ones are left out unless all are avoided.
+    Avoided endpoints are left out unless all are avoided.
     """
     fit = [
         view
@@ -71,12 +69,12 @@
         and not view.load.leaving
         and view.agent not in excluded
     ]
-    sound = [v for v in fit if not v.avoided and not v.load.avoided]
-    return sound or fit
+    healthy = [v for v in fit if not v.avoided and not v.load.avoided]
+    return healthy or fit
 
 
 class JointPolicy(Policy):
-    """The product's policy: least predicted time to the first token."""
+    """Chooses the pair with the lowest cost."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -89,17 +87,17 @@
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> Placement | types.Refusal:
-        """Choose the pair with the least predicted time."""
-        if len(pool) > _LARGE_POOL:
-            some = self._rng.sample(pool, _LARGE_POOL)
-            found = self._place(requirements, some, now, excluded)
+        """Choose the pair with the lowest cost, or refuse."""
+        if len(pool) > _MAX_SAMPLE:
+            sample = self._rng.sample(pool, _MAX_SAMPLE)
+            found = self._place(requirements, sample, now, excluded)
             if found is not types.Refusal.NO_ENDPOINT:
                 return found
         return self._place(requirements, pool, now, excluded)
 
     def _place(
         self,
-        ask: endpoint_view.Requirements,
+        requirements: endpoint_view.Requirements,
         pool: Sequence[endpoint_view.EndpointView],
         now: float,
         excluded: Collection[types.AgentId],
@@ -108,68 +106,79 @@
         prefills = eligible(pool, types.Role.PREFILL, excluded)
         if not decodes or not prefills:
             return types.Refusal.NO_ENDPOINT
-        halves = self._prefill_halves(ask, prefills, now)
-        if not halves:
+        prefill_candidates = self._prefill_candidates(
+            requirements, prefills, now
+        )
+        if not prefill_candidates:
             return types.Refusal.LATE_FIRST_TOKEN
-        slots = self._decode_halves(ask, decodes, now)
-        if isinstance(slots, types.Refusal):
-            return slots
-        return _best_pair(ask, halves, slots)
+        decode_candidates = self._decode_candidates(requirements, decodes, now)
+        if isinstance(decode_candidates, types.Refusal):
+            return decode_candidates
+        return _best_pair(requirements, prefill_candidates, decode_candidates)
 
-    def _prefill_halves(
+    def _prefill_candidates(
         self,
-        ask: endpoint_view.Requirements,
+        requirements: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
-    ) -> list["_Half"]:
-        halves = []
+    ) -> list["_Candidate"]:
+        candidates = []
         for view in pool:
-            cost = view.prefill_s(ask.prompt_tokens, ask.blocks)
-            move = ask.kv_bytes / view.load.link_bytes_s
-            slack = ask.ttft_s - 2 * view.delay_s - move - view.load.step_s
+            cost = view.prefill_s(
+                requirements.prompt_tokens, requirements.blocks
+            )
+            transfer = requirements.kv_bytes / view.load.link_bytes_s
+            slack = (
+                requirements.ttft_s
+                - 2 * view.delay_s
+                - transfer
+                - view.load.step_s
+            )
             if cost > slack:
                 continue
-            # Without room the agent is asked all the same: it may have
-            # some by now, and must learn of the demand that there is.
-            room = view.longest_job_s(slack, now)
-            # By its deadline a request may run before others' work; the
-            # room that is left over tells how soon.
-            ready = 2 * view.delay_s + max(cost, slack - (room - cost))
+            # An endpoint without capacity stays a candidate: its report may
+            # be outdated.
+            longest_s = view.longest_job_s(slack, now)
+            # Deadline order may let the prefill run before the backlog; the
+            # capacity left over within the slack shows how soon.
+            ready = 2 * view.delay_s + max(cost, slack - (longest_s - cost))
             ready = min(ready, cost + view.backlog_s(now))
             tie = _TIE_S * self._rng.random()
-            halves.append(_Half(cost - room + tie, ready, view))
-        return heapq.nsmallest(_SHORT_LIST, halves)
+            candidates.append(_Candidate(cost - longest_s + tie, ready, view))
+        return heapq.nsmallest(_MAX_CANDIDATES, candidates)
 
-    def _decode_halves(
+    def _decode_candidates(
         self,
-        ask: endpoint_view.Requirements,
+        requirements: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
-    ) -> list["_Half"] | types.Refusal:
-        halves = []
+    ) -> list["_Candidate"] | types.Refusal:
+        candidates = []
         late = False
         for view in pool:
-            if view.load.step_s > ask.tbt_s:
+            if view.load.step_s > requirements.tbt_s:
                 continue
-            slot = view.slot_wait_s(now)
-            slack = ask.ttft_s - 2 * view.delay_s - view.load.step_s
-            transfer = ask.kv_bytes / view.load.link_bytes_s
+            slot_wait = view.slot_wait_s(now)
+            slack = requirements.ttft_s - 2 * view.delay_s - view.load.step_s
+            transfer = requirements.kv_bytes / view.load.link_bytes_s
             if transfer > slack:
                 late = True
                 continue
-            lack = max(0.0, transfer - view.longest_job_s(slack, now))
-            cost = lack + slot + 2 * view.delay_s + _crowding(view)
+            shortfall = max(0.0, transfer - view.longest_job_s(slack, now))
+            cost = (
+                shortfall + slot_wait + 2 * view.delay_s + _occupancy_s(view)
+            )
             tie = _TIE_S * self._rng.random()
-            halves.append(_Half(cost + tie, slot, view))
-        if not halves:
+            candidates.append(_Candidate(cost + tie, slot_wait, view))
+        if not candidates:
             if late:
                 return types.Refusal.LATE_FIRST_TOKEN
             return types.Refusal.SLOW_TOKENS
-        return heapq.nsmallest(_SHORT_LIST, halves)
+        return heapq.nsmallest(_MAX_CANDIDATES, candidates)
 
 
-class _Half(NamedTuple):
-    """One half of a placement; the least `cost` is the best."""
+class _Candidate(NamedTuple):
+    """An endpoint for one of the two roles; the lowest cost is best."""
 
     cost: float
     ready_s: float
@@ -177,15 +186,15 @@
 
 
 def _best_pair(
-    ask: endpoint_view.Requirements,
-    prefills: list[_Half],
-    decodes: list[_Half],
+    requirements: endpoint_view.Requirements,
+    prefills: list[_Candidate],
+    decodes: list[_Candidate],
 ) -> Placement:
     best: Placement | None = None
     best_cost = float("inf")
     for pre in prefills:
         for dec in decodes:
-            ttft = _ttft(ask, pre, dec)
+            ttft = _ttft_s(requirements, pre, dec)
             cost = max(ttft, dec.ready_s) + pre.cost + dec.cost
             if cost < best_cost:
                 best_cost = cost
@@ -196,23 +205,29 @@
     return best
 
 
-def _ttft(ask: endpoint_view.Requirements, pre: _Half, dec: _Half) -> float:
-    out = pre.view.load
-    into = dec.view.load
-    transfer = ask.kv_bytes / min(out.link_bytes_s, into.link_bytes_s)
+def _ttft_s(
+    requirements: endpoint_view.Requirements,
+    pre: _Candidate,
+    dec: _Candidate,
+) -> float:
+    source = pre.view.load
+    target = dec.view.load
+    transfer = requirements.kv_bytes / min(
+        source.link_bytes_s, target.link_bytes_s
+    )
     start = max(pre.ready_s, dec.ready_s)
-    return start + transfer + 2 * dec.view.delay_s + into.step_s
+    return start + transfer + 2 * dec.view.delay_s + target.step_s
 
 
-def _crowding(view: endpoint_view.EndpointView) -> float:
-    # A fuller batch makes every stream's steps slower; this spreads the
+def _occupancy_s(view: endpoint_view.EndpointView) -> float:
+    # A penalty on fuller batches, whose steps are slower: it spreads the
     # streams while slots are free everywhere.
     used = view.load.used + view.sent_slots
     return 0.05 * used / max(1, view.load.slots)
 
 
 class PlainPolicy(Policy):
-    """For plain services: the least loaded, nearest endpoint."""
+    """Chooses the least loaded, nearest endpoint of a plain service."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -225,14 +240,14 @@
         now: float,
         excluded: Collection[types.AgentId] = (),
     ) -> Placement | types.Refusal:
-        """Choose the endpoint with the least expected wait."""
+        """Choose the endpoint with the shortest expected wait."""
         fit = eligible(pool, types.Role.PLAIN, excluded)
         if not fit:
             return types.Refusal.NO_ENDPOINT
         view = min(
             fit,
             key=lambda v: (
-                v.slot_wait_s(now) + 2 * v.delay_s + _crowding(v),
+                v.slot_wait_s(now) + 2 * v.delay_s + _occupancy_s(v),
                 self._rng.random(),
             ),
         )
--- a/rackpost/decide/prefix.py
+++ b/rackpost/decide/prefix.py
@@ -1,25 +1,24 @@
-"""Prompt prefixes as chained block hashes, and who may hold them."""
+"""Prompt prefixes as chained block hashes, and where they are cached."""
 
 from collections import OrderedDict
 import hashlib
 
 from rackpost import types
 
-# A token is taken as four bytes of text, as engines' own estimates do; a
-# block is what is hashed at once.  Engines cache in smaller blocks, but
-# routing needs no finer grain (measured: see docs/MEASUREMENTS.md).
+# Tokens are estimated at four bytes of text.  Engines cache in smaller
+# blocks; routing needs no finer granularity.
 BYTES_PER_TOKEN = 4
 BLOCK_TOKENS = 128
 _BLOCK_BYTES = BYTES_PER_TOKEN * BLOCK_TOKENS
 
 
 def count_tokens(text: bytes) -> int:
-    """An estimate of the tokens in `text`, at least one."""
+    """Estimate the number of tokens in `text`, at least one."""
     return max(1, -(-len(text) // BYTES_PER_TOKEN))
 
 
 def block_hashes(text: bytes) -> tuple[types.BlockHash, ...]:
-    """A hash for each whole block, covering all text up to its end."""
+    """Return a hash for each full block, of all text up to its end."""
     hashes = []
     parent = b""
     for at in range(0, len(text) - _BLOCK_BYTES + 1, _BLOCK_BYTES):
@@ -32,10 +31,10 @@
 
 
 class PrefixHints:
-    """Blocks that an endpoint probably caches, least recent dropped.
+    """Least-recently-used set of blocks that an endpoint probably caches.
 
-    A hint only: events come late and with gaps, so the agent's answer to
-    a reservation decides.
+    The endpoint's cache events arrive late and incomplete, so this is only
+    an estimate.
     """
 
     def __init__(self, *, max_blocks: int) -> None:
@@ -43,8 +42,8 @@
         self._blocks: OrderedDict[types.BlockHash, None] = OrderedDict()
 
     def add(self, blocks: tuple[types.BlockHash, ...]) -> None:
-        """These blocks were cached just now."""
-        # The prefix's first block must be dropped last, as in engines.
+        """Record that these blocks of one prompt were just cached."""
+        # The first block of a prefix is evicted last, as in engines.
         for block in reversed(blocks):
             self._blocks[block] = None
             self._blocks.move_to_end(block)
@@ -52,12 +51,12 @@
             self._blocks.popitem(last=False)
 
     def drop(self, blocks: tuple[types.BlockHash, ...]) -> None:
-        """These blocks are no longer cached."""
+        """Record that these blocks were evicted."""
         for block in blocks:
             self._blocks.pop(block, None)
 
     def match(self, blocks: tuple[types.BlockHash, ...]) -> int:
-        """How many leading blocks are probably cached."""
+        """Return how many leading blocks are probably cached."""
         count = 0
         for block in blocks:
             if block not in self._blocks:
--- a/rackpost/decide/retry.py
+++ b/rackpost/decide/retry.py
@@ -1,8 +1,4 @@
-"""Whether a broken attempt is tried again, and what the caller is told.
-
-Pure: times are seconds that are left, chances come from the caller's
-generator.
-"""
+"""Whether a failed attempt is retried, and the outcome if it is not."""
 
 import enum
 import random
@@ -10,16 +6,15 @@
 
 from rackpost import types
 
-# A service's retries are a share of its requests, with room for a short
-# burst.
-_BURST = 10.0
-_JITTER_S = 0.02
-# Whatever the budget, one request is given to endpoints this often.
+# Retries that may exceed a service's share in a short burst.
+_MAX_BURST = 10.0
+_MAX_JITTER_S = 0.02
+# Attempts of one request, whatever the retry budget allows.
 MAX_ATTEMPTS = 3
 
 
 class Stage(enum.Enum):
-    """How far a request had come when it broke."""
+    """How far a request had come when its attempt failed."""
 
     NOT_HANDED_OVER = "nothing"
     HANDED_OVER = "handed-over"
@@ -27,31 +22,31 @@
 
 
 class Retry(NamedTuple):
-    """Try again after a pause, in seconds."""
+    """Retry after a pause in seconds."""
 
     pause_s: float
 
 
 class GiveUp(NamedTuple):
-    """Tell the caller."""
+    """End the request with this outcome."""
 
     outcome: types.Outcome
     reason: types.Refusal | types.Failure
 
 
 class RetryBudget:
-    """A bucket that requests fill and retries empty."""
+    """Token bucket that requests fill and retries drain."""
 
-    def __init__(self, *, burst: float = _BURST):
+    def __init__(self, *, burst: float = _MAX_BURST):
         self._burst = burst
         self._level = burst
 
     def record_request(self, share: float) -> None:
-        """A request came in, of which `share` may be spent on retries."""
+        """Add the share of a retry that a new request allows."""
         self._level = min(self._burst, self._level + share)
 
     def take(self) -> bool:
-        """Take one retry out, if there is one."""
+        """Take one retry out; False if there is none."""
         if self._level < 1.0:
             return False
         self._level -= 1.0
@@ -70,19 +65,19 @@
     budget: RetryBudget,
     rng: random.Random,
 ) -> Retry | GiveUp:
-    """Decide after an attempt that had been accepted broke off.
+    """Decide what follows the failure of an attempt that was accepted.
 
-    `ran` is false only where the agent has sealed the attempt unrun;
-    `left_s` is what remains until the first token is due, or for a stream
-    that had begun until the whole answer is, `needed_s` what a new
-    attempt is expected to take.
+    `ran` is False only if the agent has sealed the attempt before it ran.
+    `left_s` is the time until the first token is due, or until the whole
+    answer is for a stream that has begun; `needed_s` is what a new attempt
+    is expected to take.
     """
-    touched = ran or stage is not Stage.NOT_HANDED_OVER
-    outcome = types.Outcome.UNKNOWN if touched else types.Outcome.NOT_RUN
-    if touched and repeat is types.RepeatClass.ONCE:
+    may_have_run = ran or stage is not Stage.NOT_HANDED_OVER
+    outcome = types.Outcome.UNKNOWN if may_have_run else types.Outcome.NOT_RUN
+    if may_have_run and repeat is types.RepeatClass.ONCE:
         return GiveUp(outcome, reason)
     if left_s < needed_s or attempts >= MAX_ATTEMPTS:
         return GiveUp(outcome, reason)
     if not budget.take():
         return GiveUp(outcome, types.Refusal.RETRY_BUDGET)
-    return Retry(rng.random() * _JITTER_S)
+    return Retry(rng.random() * _MAX_JITTER_S)
--- a/rackpost/decide/retry_after.py
+++ b/rackpost/decide/retry_after.py
@@ -1,11 +1,11 @@
-"""When a refused caller may come back.  Pure; all in seconds."""
+"""How long a refused caller should wait before it retries."""
 
 from rackpost import types
 
-_SOONEST_S = 0.5
-_LATEST_S = 30.0
-# Where the load does not tell: a restart, a rest of an endpoint, an
-# election of control's.
+_MIN_S = 0.5
+_MAX_S = 30.0
+# Delays for refusals that do not depend on the load, such as a restart or
+# an election of control.
 _FIXED_S = {
     types.Refusal.ENTRY_STOPPING: 0.5,
     types.Refusal.CLAIM_RUNNING: 1.0,
@@ -18,15 +18,15 @@
 def delay_s(
     reason: types.Refusal, *, backlog_s: float, higher_density_load: float
 ) -> float:
-    """Seconds after which another try makes sense.
+    """Return the seconds after which a retry is worthwhile.
 
-    `backlog_s` is the least prefill work that an endpoint has promised,
-    `higher_density_load` the share of the engines' time that goes to what
-    counts more; as long as that is nearly all there is no use in coming back
-    soon.
+    `backlog_s` is the prefill backlog of the endpoint with the shortest
+    one, `higher_density_load` the share of prefill time that requests of
+    higher value density are expected to take: the retry competes for what
+    is left of it.
     """
     fixed = _FIXED_S.get(reason)
     if fixed is not None:
         return fixed
     left = max(0.05, 1.0 - higher_density_load)
-    return max(_SOONEST_S, min(_LATEST_S, (_SOONEST_S + backlog_s) / left))
+    return max(_MIN_S, min(_MAX_S, (_MIN_S + backlog_s) / left))
--- a/rackpost/decide/subset.py
+++ b/rackpost/decide/subset.py
@@ -1,8 +1,7 @@
-"""Which agents an entry keeps links to, out of many.
+"""Which agents an entry keeps links to, out of a large fleet.
 
-Rendezvous hashing: each entry ranks the agents by a hash of both names,
-so that entries spread evenly and little moves when an agent comes or
-goes.  Agents of the entry's own data centre come first.  Pure.
+Each entry ranks the agents by rendezvous hashing, so that entries spread
+evenly and few links change when an agent joins or leaves.
 """
 
 from typing import Iterable
@@ -18,10 +17,11 @@
     members: Iterable[commands.MemberInfo],
     size: int,
 ) -> set[str]:
-    """The names of at most `size` agents of each service and role.
+    """Return the names of at most `size` agents of each service and role.
 
-    Up to a quarter of them are taken from other data centres, so that
-    one that is lost leaves the entry with links that work.
+    Agents of the entry's own data centre are preferred.  Up to a quarter
+    are from others, so that the entry keeps usable links when its own data
+    centre fails.
     """
     pools: dict[tuple[str, str], list[commands.MemberInfo]] = {}
     for member in members:
