--- a/rackpost/agent/attempts.py
+++ b/rackpost/agent/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt as its agent sees it, and the memory of ended ones."""
+"""An attempt at its agent, and the record of how attempts ended."""
 
 import asyncio
 import collections
@@ -10,31 +10,40 @@
 from rackpost.decide import slots
 from rackpost.link import messages
 
-# Ended attempts are remembered for longer than a claim runs, in seconds.
+# How long ended attempts are remembered; longer than a claim runs.
 RETENTION_S = 900.0
 
 Run = Union[messages.RunPrefill, messages.RunDecode, messages.RunCall]
 
 
 class State(enum.Enum):
-    """How far an attempt has come at its agent."""
+    """State of an attempt at its agent."""
 
-    PROMISED = "promised"
+    RESERVED = "promised"
     READY = "ready"
     RUNNING = "running"
     ENDED = "ended"
 
 
 class Attempt:
-    """An attempt that is promised or runs here."""
+    """An attempt that has a reservation or runs.
+
+    `spent_s` is the time of its prefill chunks so far, `taken` the bytes
+    of its answer that the caller has received.  `turn` is set when a
+    prefill may run its next chunk, `credited` when `taken` grows.
+    """
 
     def __init__(
-        self, *, key: slots.AttemptKey, asked: messages.Reserve, session: Any
+        self,
+        *,
+        key: slots.AttemptKey,
+        reserve_msg: messages.Reserve,
+        session: Any,
     ) -> None:
         self.key = key
-        self.asked = asked
+        self.reserve_msg = reserve_msg
         self.session = session
-        self.state = State.PROMISED
+        self.state = State.RESERVED
         self.run: Run | None = None
         self.task: asyncio.Task[None] | None = None
         self.lease: asyncio.TimerHandle | None = None
@@ -45,8 +54,8 @@
         self.collected: Any = None
         self.credited = asyncio.Event()
 
-    def take(self, run: Run) -> None:
-        """The entry has sent what the promised part needs."""
+    def set_run(self, run: Run) -> None:
+        """Store the input of the reserved work, which ends the lease."""
         self.run = run
         self.state = State.READY
         if self.lease is not None:
@@ -58,34 +67,34 @@
 
     NEVER_RAN = "never-ran"
     RAN = "ran"
-    WHOLE = "whole"
+    COMPLETED = "whole"
 
 
-class _Ended(NamedTuple):
-    """How an attempt ended, and when by the agent's clock."""
+class _EndedAttempt(NamedTuple):
+    """How an attempt ended, and when."""
 
     ending: Ending
     at: float
 
 
 class EndedAttempts:
-    """How ended attempts ended; what is here is never handed over."""
+    """How recent attempts ended; none of them is ever run again."""
 
     def __init__(self) -> None:
-        self._ended: collections.OrderedDict[slots.AttemptKey, _Ended] = (
-            collections.OrderedDict()
-        )
+        self._ended: collections.OrderedDict[
+            slots.AttemptKey, _EndedAttempt
+        ] = collections.OrderedDict()
 
     def __len__(self) -> int:
         return len(self._ended)
 
     def add(self, key: slots.AttemptKey, ending: Ending, now: float) -> None:
-        """The attempt is over; its first ending stays."""
-        self._ended.setdefault(key, _Ended(ending, now))
+        """Record an ending; the first one of an attempt stays."""
+        self._ended.setdefault(key, _EndedAttempt(ending, now))
         while next(iter(self._ended.values())).at < now - RETENTION_S:
             self._ended.popitem(last=False)
 
     def ending(self, key: slots.AttemptKey) -> Ending | None:
-        """How the attempt ended; None if it has not, or is forgotten."""
+        """Return how the attempt ended; None if unknown or not ended."""
         found = self._ended.get(key)
         return found.ending if found is not None else None
--- a/rackpost/agent/core.py
+++ b/rackpost/agent/core.py
@@ -1,7 +1,7 @@
-"""The agent: owner of one endpoint's capacity and of all given to it.
+"""The agent grants one endpoint's capacity and runs the attempts on it.
 
-One task handles messages; each attempt that runs has a task of its own,
-which alone talks to the endpoint about it.
+Messages are handled in the event loop's callbacks; each running attempt has
+a task of its own, the only one that calls the endpoint for it.
 """
 
 import asyncio
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from rackpost.agent import answers
+from rackpost.agent import answer_cache
 from rackpost.agent import attempts
 from rackpost.agent import engine as engine_mod
-from rackpost.agent import running as running_mod
+from rackpost.agent import runner
 from rackpost.decide import prefix
-from rackpost.decide import reservations as reservations_mod
+from rackpost.decide import reservations
 from rackpost.decide import slots
 from rackpost import exceptions
 from rackpost.link import channel
@@ -28,22 +28,25 @@
 from rackpost import metrics as metrics_mod
 from rackpost import types
 
-# A promise that is not taken up in this time is given up, in seconds.
+# A reservation whose input does not arrive in this time after it is ready
+# expires.
 LEASE_S = 1.0
-# Idle agents say their load this often, in seconds.
+# How often the load is checked and, if it has changed, reported to entries
+# with an idle link.
 SUMMARY_S = 0.5
-# One whose load has hardly changed says so this often, in seconds, which
-# bounds what hundreds of idle links cost (docs/CAPACITY.md).
-_SUMMARY_MOST_S = 5.0
-_SLOTS_CHANGED = 2
-_BACKLOG_CHANGED_S = 0.05
-_ROUND_S = 1e-4
-# Promises that can't be kept any more are looked for this often.
+# A load that has hardly changed is reported this often, which bounds the
+# traffic of hundreds of idle links.
+_MAX_SUMMARY_S = 5.0
+_MIN_SLOTS_CHANGE = 2
+_MIN_BACKLOG_CHANGE_S = 0.05
+# Added to timers, whose time may be rounded down.
+_TIMER_ROUNDING_S = 1e-4
+# How often reservations are checked for ones that can't be honoured.
 _CHECK_S = 0.05
 
 
 class AgentConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """Who the agent is."""
+    """Identity and timing of an agent."""
 
     agent: types.AgentId
     service: types.ServiceName
@@ -54,21 +57,21 @@
 
 
 class Session:
-    """The link to one entry, and the attempts it has here."""
+    """The link to one entry, and the attempts that belong to it."""
 
     def __init__(self, *, conn: channel.Channel) -> None:
         self.conn = conn
         self.peer = ""
         self.keys: set[slots.AttemptKey] = set()
-        self.spoke_at = 0.0
-        self.told: messages.Load | None = None
+        self.sent_at = 0.0
+        self.reported: messages.Load | None = None
 
 
-class Agent(running_mod.Host):
+class Agent(runner.Host):
     """Serves reservations and attempts for one endpoint.
 
-    `on_peer_revision` is told of each revision that an entry runs on, so that
-    a newer one is fetched.
+    `on_peer_revision` is called with each settings revision that an entry
+    runs on, so that a newer one can be fetched.
     """
 
     def __init__(
@@ -76,27 +79,25 @@
         *,
         cfg: AgentConfig,
         engine: engine_mod.Engine,
-        ledger: reservations_mod.EndpointLedger,
+        ledger: reservations.EndpointLedger,
         metrics: metrics_mod.Metrics | None = None,
         on_peer_revision: Callable[
             [types.Revision], object
         ] = lambda revision: None,
     ) -> None:
         self.cfg = cfg
-        self._behind = on_peer_revision
+        self._on_peer_revision = on_peer_revision
         self.ledger = ledger
         self.metrics = metrics or metrics_mod.Metrics()
         self._engine = engine
-        self._runner = running_mod.Runner(
-            engine=engine, book=ledger, host=self
-        )
+        self._runner = runner.Runner(engine=engine, ledger=ledger, host=self)
         self._sessions: set[Session] = set()
         self._attempts: dict[slots.AttemptKey, attempts.Attempt] = {}
         self._sealed = attempts.EndedAttempts()
-        self._answers = answers.HeldAnswers()
+        self._answers = answer_cache.AnswerCache()
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._waker: asyncio.TimerHandle | None = None
+        self._timer: asyncio.TimerHandle | None = None
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -121,7 +122,7 @@
         conn.send(messages.Summary(load=self.load()))
 
     def _on_closed(self, session: Session) -> None:
-        # The entry is gone: so is everyone who would receive the work.
+        # The entry is gone, so no caller is left to receive the answers.
         self._sessions.discard(session)
         for key in list(session.keys):
             self._give_up(key)
@@ -143,51 +144,51 @@
         else:
             self._on_run(msg)
 
-    # Promises.
+    # Reservations.
 
     def _on_reserve(self, session: Session, msg: messages.Reserve) -> None:
-        self._behind(msg.revision)
+        self._on_peer_revision(msg.revision)
         key = slots.AttemptKey(msg.req, msg.attempt)
         if self._sealed.ending(key) is not None:
-            made: reservations_mod.ReservationTerms | types.Refusal = (
+            result: reservations.ReservationTerms | types.Refusal = (
                 types.Refusal.DEADLINE
             )
         else:
-            made = self.ledger.reserve(msg, key, self._loop.time())
-        if isinstance(made, types.Refusal):
-            self.metrics.count("refused", made, msg.kind)
+            result = self.ledger.reserve(msg, key, self._loop.time())
+        if isinstance(result, types.Refusal):
+            self.metrics.count("refused", result, msg.kind)
             reply: msgspec.Struct = messages.Refused(
                 req=msg.req,
                 attempt=msg.attempt,
                 part=msg.part,
-                reason=made,
+                reason=result,
                 load=self.load(),
             )
-            self.say(session, reply)
+            self.send(session, reply)
             return
-        att = attempts.Attempt(key=key, asked=msg, session=session)
-        att.collected = answers.Collector()
-        att.reuse_tokens = made.reuse_blocks * prefix.BLOCK_TOKENS
-        lease = self.cfg.lease_s + max(made.ready_in_s, msg.within_s)
+        att = attempts.Attempt(key=key, reserve_msg=msg, session=session)
+        att.collected = answer_cache.AnswerCollector()
+        att.reuse_tokens = result.reuse_blocks * prefix.BLOCK_TOKENS
+        lease = self.cfg.lease_s + max(result.ready_in_s, msg.within_s)
         att.lease = self._loop.call_later(lease, self._expire, key)
         self._attempts[key] = att
         session.keys.add(key)
         self._idle.clear()
-        self.say(
+        self.send(
             session,
             messages.Granted(
                 req=msg.req,
                 attempt=msg.attempt,
                 part=msg.part,
-                ready_in_s=made.ready_in_s,
-                reuse_blocks=made.reuse_blocks,
+                ready_in_s=result.ready_in_s,
+                reuse_blocks=result.reuse_blocks,
                 load=self.load(),
             ),
         )
 
     def _expire(self, key: slots.AttemptKey) -> None:
         att = self._attempts.get(key)
-        if att is None or att.state is not attempts.State.PROMISED:
+        if att is None or att.state is not attempts.State.RESERVED:
             return
         self.metrics.count("failed", types.Failure.LEASE_EXPIRED)
         self._fail(att, types.Failure.LEASE_EXPIRED, ran=False)
@@ -199,20 +200,20 @@
             self.metrics.count("dropped", types.Drop.BAD_FRAME)
             return
         att = self._attempts.get(slots.AttemptKey(msg.req, msg.attempt))
-        if att is None or att.state is not attempts.State.PROMISED:
+        if att is None or att.state is not attempts.State.RESERVED:
             self.metrics.count("dropped", types.Drop.UNKNOWN_REQUEST)
             return
-        att.take(msg)
+        att.set_run(msg)
         self.ledger.mark_ready(att.key)
         self.start_ready()
 
     def start_ready(self) -> None:
-        """Start what may be started now."""
+        """Start all work that may start now."""
         now = self._loop.time()
         while True:
             key = self.ledger.next_start(now)
             if key is None:
-                self._wake_later(now)
+                self._schedule_start(now)
                 return
             att = self._attempts[key]
             if att.task is not None:
@@ -221,47 +222,46 @@
             att.state = attempts.State.RUNNING
             att.task = self._spawn(self._run(att))
 
-    def _wake_later(self, now: float) -> None:
+    def _schedule_start(self, now: float) -> None:
         wait = self.ledger.wake_in_s(now)
-        if self._waker is not None:
-            self._waker.cancel()
-            self._waker = None
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         if wait is not None:
-            # A little more, as the time of a timer may be rounded.
-            self._waker = self._loop.call_later(
-                wait + _ROUND_S, self.start_ready
+            self._timer = self._loop.call_later(
+                wait + _TIMER_ROUNDING_S, self.start_ready
             )
 
     # Running attempts.
 
     async def _run(self, att: attempts.Attempt) -> None:
         try:
-            with self._aborted_if_cut(att):
+            with self._abort_on_error(att):
                 await self._runner.run(att)
         except exceptions.EngineError as exc:
-            # Of a long prefill, parts may have run before the one that
-            # was turned away.
+            # Earlier chunks of a prefill may have run before the endpoint
+            # rejected this one.
             ran = exc.ran or att.spent_s > 0.0
             if exc.backoff_s > 0.0:
-                # Entries choose others until then, for what was promised too.
+                # Reported in the load, so that entries avoid the endpoint.
                 self.ledger.health.record_backoff(
                     exc.backoff_s, self._loop.time()
                 )
-            self._fail(att, running_mod.failure_of(exc), ran=ran)
+            self._fail(att, runner.failure_of(exc), ran=ran)
         except Exception as exc:
-            # A fault of ours must not leave the attempt held for ever.
+            # A bug in the agent must not leave the attempt reserved.
             logs.say(logs.Part.AGENT, "Attempt failed.", why=repr(exc))
             self._fail(att, types.Failure.AGENT, ran=True)
 
     @contextlib.contextmanager
-    def _aborted_if_cut(self, att: attempts.Attempt) -> Iterator[None]:
-        whole = False
+    def _abort_on_error(self, att: attempts.Attempt) -> Iterator[None]:
+        completed = False
         try:
             yield
-            whole = True
+            completed = True
         finally:
-            if not whole:
-                # The engine is told even when this task is cancelled.
+            if not completed:
+                # In a new task, as this one may be cancelled.
                 self._spawn(self._abort(att.key))
 
     async def _abort(self, key: slots.AttemptKey) -> None:
@@ -276,12 +276,12 @@
 
     # Ends.
 
-    def done(self, att: attempts.Attempt, tokens: int) -> None:
-        """Tell the entry that the answer is whole."""
-        if att.asked.claim is not None:
+    def send_done(self, att: attempts.Attempt, tokens: int) -> None:
+        """Send that the answer is complete, and keep it for a resend."""
+        if att.reserve_msg.claim is not None:
             now = self._loop.time()
-            self._answers.hold(att.key, att.collected, now)
-        self.say(
+            self._answers.add(att.key, att.collected, now)
+        self.send(
             att.session,
             messages.Done(
                 req=att.key.req,
@@ -296,40 +296,40 @@
         self, att: attempts.Attempt, reason: types.Failure, *, ran: bool
     ) -> None:
         now = self._loop.time()
-        if reason in _ENDPOINTS_FAULT and not self.ledger.health.in_backoff(
+        if reason in _ENDPOINT_FAILURES and not self.ledger.health.in_backoff(
             now
         ):
             self.ledger.health.record_failure(now)
-        self.finish(att, whole=False)
-        self.metrics.count("failed", reason, att.asked.kind)
-        self.say(
+        self.finish(att, completed=False)
+        self.metrics.count("failed", reason, att.reserve_msg.kind)
+        self.send(
             att.session,
             messages.Failed(
                 req=att.key.req,
                 attempt=att.key.attempt,
-                part=att.asked.part,
+                part=att.reserve_msg.part,
                 reason=reason,
                 ran=ran,
                 load=self.load(),
             ),
         )
 
-    def finish(self, att: attempts.Attempt, *, whole: bool) -> None:
-        """Let go of all that the attempt holds here."""
+    def finish(self, att: attempts.Attempt, *, completed: bool) -> None:
+        """Seal the attempt and release all that it holds."""
         if att.state is attempts.State.ENDED:
             return
         ending = attempts.Ending.NEVER_RAN
         if att.state is attempts.State.RUNNING:
             ending = attempts.Ending.RAN
-            if whole and att.asked.part is not types.Role.PREFILL:
-                ending = attempts.Ending.WHOLE
+            if completed and att.reserve_msg.part is not types.Role.PREFILL:
+                ending = attempts.Ending.COMPLETED
         self._sealed.add(att.key, ending, self._loop.time())
         att.state = attempts.State.ENDED
         if att.lease is not None:
             att.lease.cancel()
         self._attempts.pop(att.key, None)
         att.session.keys.discard(att.key)
-        self.ledger.release(att.key, self._loop.time(), completed=whole)
+        self.ledger.release(att.key, self._loop.time(), completed=completed)
         self.start_ready()
         if not self._attempts:
             self._idle.set()
@@ -339,7 +339,7 @@
         if att is None:
             return
         task = att.task
-        self.finish(att, whole=False)
+        self.finish(att, completed=False)
         if task is not None:
             task.cancel()
 
@@ -347,33 +347,33 @@
         key = slots.AttemptKey(msg.req, msg.attempt)
         att = self._attempts.get(key)
         if att is not None and att.state is not attempts.State.RUNNING:
-            self.finish(att, whole=False)
+            self.finish(att, completed=False)
         running = att is not None and att.state is attempts.State.RUNNING
         if not running:
-            # From now on it can't begin here, whatever is on the way.
+            # A Run message that is still in flight will be dropped.
             never = attempts.Ending.NEVER_RAN
             self._sealed.add(key, never, self._loop.time())
         ending = self._sealed.ending(key)
-        self.say(
+        self.send(
             session,
             messages.Sealed(
                 req=msg.req,
                 attempt=msg.attempt,
                 running=running,
                 ran=running or ending is not attempts.Ending.NEVER_RAN,
-                whole=ending is attempts.Ending.WHOLE,
+                whole=ending is attempts.Ending.COMPLETED,
             ),
         )
 
-    # The agent's own life.
+    # Load reports and shutdown.
 
     def load(self) -> messages.Load:
-        """The endpoint's present load."""
+        """Return the endpoint's present load."""
         return self.ledger.load(self._loop.time())
 
-    def say(self, session: Any, msg: msgspec.Struct) -> None:
-        """Send a message over a session's link."""
-        session.spoke_at = self._loop.time()
+    def send(self, session: Any, msg: msgspec.Struct) -> None:
+        """Send a message over the link of a session."""
+        session.sent_at = self._loop.time()
         session.conn.send(msg)
 
     def _spawn(self, coro: Coroutine[None, None, None]) -> asyncio.Task[None]:
@@ -383,18 +383,18 @@
         return task
 
     async def run(self) -> None:
-        """Tell idle entries the load, until cancelled."""
-        checking = self._spawn(self._check_promises())
+        """Report the load to entries until cancelled."""
+        checking = self._spawn(self._check_reservations())
         try:
             while True:
                 await asyncio.sleep(self.cfg.summary_s)
                 await self._read_cache_events()
-                self._say_summaries()
+                self._send_summaries()
         finally:
             checking.cancel()
 
-    async def _check_promises(self) -> None:
-        """Give promises back while another endpoint can still keep them."""
+    async def _check_reservations(self) -> None:
+        """Fail reservations while another endpoint still has time."""
         while True:
             await asyncio.sleep(_CHECK_S)
             for key in self.ledger.infeasible(self._loop.time()):
@@ -406,69 +406,69 @@
         if self.ledger.role is types.Role.PLAIN:
             return
         with contextlib.suppress(exceptions.EngineError):
-            seen = await self._engine.events()
-            if isinstance(self.ledger, reservations_mod.ReservationLedger):
-                self.ledger.record_cache_events(seen.stored, seen.removed)
+            events = await self._engine.events()
+            if isinstance(self.ledger, reservations.ReservationLedger):
+                self.ledger.record_cache_events(events.stored, events.removed)
 
-    def _say_summaries(self) -> None:
+    def _send_summaries(self) -> None:
         now = self._loop.time()
         load = self.load()
         msg = messages.Summary(load=load)
         for session in list(self._sessions):
-            silent = now - session.spoke_at
-            if silent < self.cfg.summary_s:
+            idle_s = now - session.sent_at
+            if idle_s < self.cfg.summary_s:
                 continue
-            if silent >= _SUMMARY_MOST_S or _differs(load, session.told):
-                self.say(session, msg)
-                session.told = load
+            if idle_s >= _MAX_SUMMARY_S or _differs(load, session.reported):
+                self.send(session, msg)
+                session.reported = load
 
     def leave(self) -> None:
-        """Refuse new promises at once and tell every entry so."""
+        """Refuse new reservations and report so to every entry."""
         self.ledger.leaving = True
         msg = messages.Summary(load=self.load())
         for session in list(self._sessions):
-            self.say(session, msg)
+            self.send(session, msg)
 
     async def drained(self) -> None:
         """Wait until no attempt is left."""
         await self._idle.wait()
 
     def close(self) -> None:
-        """Give up everything, as when the process dies."""
+        """Give up all attempts and close all links."""
         for session in list(self._sessions):
             for key in list(session.keys):
                 self._give_up(key)
             session.conn.close()
         for task in list(self._tasks):
             task.cancel()
-        if self._waker is not None:
-            self._waker.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
 
     @property
     def open_attempts(self) -> int:
-        """Promised and running attempts."""
+        """Number of reserved and running attempts."""
         return len(self._attempts)
 
 
-def _differs(load: messages.Load, told: messages.Load | None) -> bool:
-    if told is None:
+def _differs(load: messages.Load, reported: messages.Load | None) -> bool:
+    if reported is None:
         return True
     return (
-        abs(load.used - told.used) >= _SLOTS_CHANGED
-        or abs(load.backlog_s - told.backlog_s) >= _BACKLOG_CHANGED_S
-        or (load.leaving, load.avoided) != (told.leaving, told.avoided)
-        or load.revision != told.revision
+        abs(load.used - reported.used) >= _MIN_SLOTS_CHANGE
+        or abs(load.backlog_s - reported.backlog_s) >= _MIN_BACKLOG_CHANGE_S
+        or (load.leaving, load.avoided) != (reported.leaving, reported.avoided)
+        or load.revision != reported.revision
     )
 
 
-_ENDPOINTS_FAULT = frozenset(
+_ENDPOINT_FAILURES = frozenset(
     {types.Failure.ENGINE, types.Failure.ENGINE_STALLED}
 )
 
 
 @contextlib.asynccontextmanager
 async def running(agent: Agent) -> AsyncIterator[Agent]:
-    """Run an agent; on leaving, everything it holds is given up."""
+    """Run an agent; on exit, give up all its attempts."""
     task = asyncio.create_task(agent.run())
     try:
         yield agent
--- a/rackpost/agent/engine.py
+++ b/rackpost/agent/engine.py
@@ -1,4 +1,4 @@
-"""What an agent needs of its endpoint, whatever protocol it speaks."""
+"""The interface of an agent to its endpoint, for any protocol."""
 
 import abc
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class KvExpired(exceptions.EngineError):
-    """The prefill's result was no longer kept when it was asked for."""
+    """The KV cache of the prefill has expired at its engine."""
 
 
 class TransferFailed(exceptions.EngineError):
@@ -20,21 +20,21 @@
 
 
 class PrefillResult(msgspec.Struct, frozen=True, kw_only=True):
-    """A prefill is done: where its KV cache lies, what was reused."""
+    """The handle of a prefill's KV cache, and the tokens reused for it."""
 
     kv: dict[str, Any]
     cached_tokens: int
 
 
 class CacheEvents(msgspec.Struct, frozen=True, kw_only=True):
-    """Blocks that were cached or dropped; events may be missing."""
+    """Blocks that were cached or evicted; some events may be missing."""
 
     stored: tuple[types.BlockHash, ...] = ()
     removed: tuple[types.BlockHash, ...] = ()
 
 
 class CallHead(msgspec.Struct, frozen=True, kw_only=True):
-    """The beginning of a plain service's answer."""
+    """Status and headers of a plain service's answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -43,8 +43,8 @@
 class Engine(abc.ABC):
     """A model engine or plain service behind an agent.
 
-    Every method raises EngineError where the endpoint fails; its `ran`
-    tells whether the endpoint may have started the work.
+    Every method raises EngineError if the endpoint fails; the error's `ran`
+    says whether the endpoint may have started the work.
     """
 
     @abc.abstractmethod
@@ -57,7 +57,7 @@
     async def warm(
         self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> None:
-        """Have a prompt's prefix cached; nothing is kept for export."""
+        """Prefill a prompt into the prefix cache, without export."""
 
     @abc.abstractmethod
     def decode(
@@ -69,7 +69,10 @@
         offset: int,
         priority: int,
     ) -> AsyncGenerator[str, None]:
-        """Import `kv` and stream the pieces of the answer."""
+        """Import `kv` and stream the chunks of the answer.
+
+        `offset` is the number of tokens that the caller already has.
+        """
 
     @abc.abstractmethod
     async def abort(self, *, key: slots.AttemptKey) -> None:
@@ -86,11 +89,11 @@
         headers: tuple[tuple[str, str], ...],
         body: bytes,
     ) -> AsyncGenerator[CallHead | bytes, None]:
-        """Call a plain service: the head first, then the body's parts."""
+        """Call a plain service; yields the head, then chunks of the body."""
 
     @abc.abstractmethod
     async def events(self) -> CacheEvents:
-        """Cache events since the last call."""
+        """Return the cache events since the last call."""
 
     async def close(self) -> None:
-        """Let go of connections."""
+        """Close all connections."""
--- a/rackpost/agent/engine_http.py
+++ b/rackpost/agent/engine_http.py
@@ -1,6 +1,6 @@
-"""Model engines and plain services over HTTP, as docs/ENDPOINTS.md says.
+"""Model engines and plain services over HTTP, see docs/ENDPOINTS.md.
 
-The OpenAI API with the fields that engines publish for separate prefill:
+Model engines serve the OpenAI API with extensions for separate prefill:
 `kv_transfer_params`, `priority`, and server-sent events with ids.
 """
 
@@ -20,10 +20,10 @@
 from rackpost import logs
 from rackpost import types
 
-# The agent's own watchdog is tighter; this only bounds a forgotten call.
+# A last resort; the limits of the agent's watchdog are shorter.
 _TOTAL_S = 3600.0
 _CONNECT_S = 1.0
-_PART_BYTES = 16 << 10
+_CHUNK_BYTES = 16 << 10
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -38,20 +38,19 @@
         "host",
     }
 )
-# Statuses with which an endpoint turns a request away; with them it may ask
-# for a time without any.
-_TURNED_AWAY = (429, 503)
+# Statuses of a rejected request, which may carry Retry-After.
+_REJECTED = (429, 503)
 _NOT_STARTED = (aiohttp.ClientConnectorError, aiohttp.ServerTimeoutError)
 
 
 class _Delta(msgspec.Struct):
-    """The part of a streamed choice that carries text."""
+    """The text of a streamed choice."""
 
     content: str | None = None
 
 
 class _Choice(msgspec.Struct):
-    """One choice of a streamed or whole answer."""
+    """One choice of an answer."""
 
     delta: _Delta | None = None
     text: str | None = None
@@ -64,31 +63,31 @@
     error: str | None = None
 
 
-class _Prefilled(msgspec.Struct):
-    """What a prefill answers."""
+class _PrefillAnswer(msgspec.Struct):
+    """The answer to a prefill."""
 
     kv_transfer_params: dict[str, Any]
     cached_tokens: int = 0
 
 
-class _Event(msgspec.Struct):
-    """A cache event, named as engines name them."""
+class _CacheEvent(msgspec.Struct):
+    """A cache event; `type` is BlockStored or BlockRemoved."""
 
     type: str
     block_hashes: list[int] = []
 
 
-class _Events(msgspec.Struct):
-    """Cache events after a number."""
+class _CacheEvents(msgspec.Struct):
+    """Cache events, and the sequence number of the last one."""
 
     last: int
-    events: list[_Event]
+    events: list[_CacheEvent]
 
 
 def end_to_end_headers(
     headers: tuple[tuple[str, str], ...],
 ) -> tuple[tuple[str, str], ...]:
-    """The headers that are passed on; hop-by-hop ones are dropped."""
+    """Return the headers without the hop-by-hop ones."""
     named = {
         word.strip().lower()
         for name, value in headers
@@ -103,7 +102,7 @@
     )
 
 
-def _name_of(key: slots.AttemptKey) -> str:
+def _request_id(key: slots.AttemptKey) -> str:
     return f"{key.req}.{key.attempt}"
 
 
@@ -114,8 +113,7 @@
         self._url = url.rstrip("/")
         self._events_after = 0
         self._loop = asyncio.get_running_loop()
-        # Nothing is sent before this reading of the clock.
-        self._quiet_until = 0.0
+        self._backoff_until = 0.0
         self._session = aiohttp.ClientSession(
             timeout=aiohttp.ClientTimeout(
                 total=_TOTAL_S, sock_connect=_CONNECT_S
@@ -133,35 +131,35 @@
         self, method: str, path: str, **more: Any
     ) -> AsyncIterator[aiohttp.ClientResponse]:
         url = self._url + path
-        self._check_quiet()
+        self._check_backoff()
         try:
             async with self._session.request(method, url, **more) as resp:
-                self._note_quiet(resp)
+                self._record_backoff(resp)
                 yield resp
         except _NOT_STARTED as exc:
             raise exceptions.EngineError(str(exc), ran=False) from exc
         except (aiohttp.ClientError, TimeoutError, OSError) as exc:
             raise exceptions.EngineError(str(exc)) from exc
 
-    def _check_quiet(self) -> None:
-        """Send nothing in a time that the endpoint asked for."""
-        left_s = self._quiet_until - self._loop.time()
+    def _check_backoff(self) -> None:
+        """Raise EngineError while a requested back-off lasts."""
+        left_s = self._backoff_until - self._loop.time()
         if left_s > 0.0:
             raise exceptions.EngineError(
                 "asked for back-off", ran=False, backoff_s=left_s
             )
 
-    def _note_quiet(self, resp: aiohttp.ClientResponse) -> None:
-        asked_s = _backoff_s(resp)
-        if asked_s <= 0.0:
+    def _record_backoff(self, resp: aiohttp.ClientResponse) -> None:
+        requested_s = _backoff_s(resp)
+        if requested_s <= 0.0:
             return
-        until = self._loop.time() + asked_s
-        self._quiet_until = max(self._quiet_until, until)
+        until = self._loop.time() + requested_s
+        self._backoff_until = max(self._backoff_until, until)
         logs.say(
             logs.Part.AGENT,
             "Endpoint asks for back-off.",
             status=resp.status,
-            backoff_s=round(asked_s, 3),
+            backoff_s=round(requested_s, 3),
         )
 
     async def prefill(
@@ -176,7 +174,9 @@
         async with self._post(key, req) as resp:
             await _check(resp)
             try:
-                found = msgspec.json.decode(await resp.read(), type=_Prefilled)
+                found = msgspec.json.decode(
+                    await resp.read(), type=_PrefillAnswer
+                )
             except msgspec.MsgspecError as exc:
                 raise exceptions.EngineError(f"bad answer: {exc}") from exc
         return engine.PrefillResult(
@@ -186,7 +186,7 @@
     async def warm(
         self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> None:
-        """Run a prompt for one token, which leaves its prefix cached."""
+        """Run a prompt for one token, which caches its prefix."""
         req = msgspec.json.decode(body)
         req["max_tokens"] = 1
         req["stream"] = False
@@ -205,7 +205,7 @@
             data=msgspec.json.encode(req),
             headers={
                 "Content-Type": "application/json",
-                "X-Request-Id": _name_of(key),
+                "X-Request-Id": _request_id(key),
                 **headers,
             },
         )
@@ -219,7 +219,7 @@
         offset: int,
         priority: int,
     ) -> AsyncGenerator[str, None]:
-        """Stream an answer, from `offset` on where it is a resumed one."""
+        """Stream an answer; a resumed one from `offset` on."""
         req = msgspec.json.decode(body)
         req["stream"] = True
         req["priority"] = priority
@@ -228,12 +228,12 @@
         resume = {"Last-Event-ID": str(offset)} if offset else {}
         async with self._post(key, req, **resume) as resp:
             await _check(resp)
-            async for text in _pieces(resp):
+            async for text in _text_chunks(resp):
                 yield text
 
     async def abort(self, *, key: slots.AttemptKey) -> None:
-        """Abort a request; engines also do so when a call is closed."""
-        payload = msgspec.json.encode({"request_ids": [_name_of(key)]})
+        """Abort a request."""
+        payload = msgspec.json.encode({"request_ids": [_request_id(key)]})
         async with self._call("POST", "/abort_requests", data=payload):
             pass
 
@@ -247,7 +247,7 @@
         headers: tuple[tuple[str, str], ...],
         body: bytes,
     ) -> AsyncGenerator[engine.CallHead | bytes, None]:
-        """Pass a call on and its answer back."""
+        """Forward a call and stream its answer."""
         target = f"{path}?{query}" if query else path
         async with self._call(
             method,
@@ -255,7 +255,7 @@
             data=body or None,
             headers=[
                 *end_to_end_headers(headers),
-                ("X-Request-Id", _name_of(key)),
+                ("X-Request-Id", _request_id(key)),
             ],
             allow_redirects=False,
         ) as resp:
@@ -263,17 +263,19 @@
                 status=resp.status,
                 headers=end_to_end_headers(tuple(resp.headers.items())),
             )
-            async for part in resp.content.iter_chunked(_PART_BYTES):
-                yield part
+            async for chunk in resp.content.iter_chunked(_CHUNK_BYTES):
+                yield chunk
 
     async def events(self) -> engine.CacheEvents:
-        """Cache events since the last call."""
+        """Return the cache events since the last call."""
         path = f"/kv_events?after={self._events_after}"
         async with self._call("GET", path) as resp:
             if resp.status != 200:
                 return engine.CacheEvents()
             try:
-                found = msgspec.json.decode(await resp.read(), type=_Events)
+                found = msgspec.json.decode(
+                    await resp.read(), type=_CacheEvents
+                )
             except msgspec.MsgspecError:
                 return engine.CacheEvents()
         self._events_after = found.last
@@ -283,13 +285,13 @@
         )
 
     async def order(self, *, fence: types.Fence, what: str) -> bool:
-        """Give a fenced order; False if the endpoint refused it."""
+        """Send a fenced order; False if the endpoint refused it."""
         payload = msgspec.json.encode({"fence": fence, "what": what})
         async with self._call("POST", "/orders", data=payload) as resp:
             return resp.status == 200
 
 
-def _blocks(found: _Events, kind: str) -> tuple[types.BlockHash, ...]:
+def _blocks(found: _CacheEvents, kind: str) -> tuple[types.BlockHash, ...]:
     return tuple(
         types.BlockHash(block)
         for event in found.events
@@ -299,12 +301,12 @@
 
 
 def _backoff_s(resp: aiohttp.ClientResponse) -> float:
-    """How long an endpoint asks for no more requests, in seconds."""
-    if resp.status not in _TURNED_AWAY:
+    """Return the seconds of back-off that an endpoint requests."""
+    if resp.status not in _REJECTED:
         return 0.0
-    told = resp.headers.get("Retry-After", "").encode()
+    value = resp.headers.get("Retry-After", "").encode()
     date = resp.headers.get("Date", "").encode()
-    return retry_after.seconds(told, date) or 0.0
+    return retry_after.seconds(value, date) or 0.0
 
 
 async def _check(resp: aiohttp.ClientResponse) -> None:
@@ -315,15 +317,14 @@
         raise engine.KvExpired(text)
     if resp.status == 502:
         raise engine.TransferFailed(text)
-    # An engine that says it is overloaded, or does not like the request,
-    # has not started it.
+    # With these statuses the engine has not started the request.
     ran = resp.status not in (400, 404, 422, 429, 503)
     raise exceptions.EngineError(
         f"{resp.status}: {text}", ran=ran, backoff_s=_backoff_s(resp)
     )
 
 
-async def _pieces(
+async def _text_chunks(
     resp: aiohttp.ClientResponse,
 ) -> AsyncGenerator[str, None]:
     async for line in resp.content:
--- a/rackpost/agent/orders.py
+++ b/rackpost/agent/orders.py
@@ -1,9 +1,8 @@
-"""Fenced orders of control, which only the agent gives to its endpoint.
+"""Executes the fenced orders of control at the agent's endpoint.
 
-An endpoint that checks nobody is safe behind it: an order counts only
-with a fence above all that this agent has seen, and only to the
-incarnation that it was given to: a restarted agent is fed the changes of
-the past, and must not carry out the orders among them.
+An order is executed only if its fence is higher than all that the agent has
+seen and if it is for the agent's incarnation: a restarted agent receives
+past changes again and must not repeat the orders among them.
 """
 
 import asyncio
@@ -19,7 +18,7 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     GIVEN = "given"
     OLD_FENCE = "old-fence"
@@ -29,13 +28,13 @@
 
 
 class FenceGate:
-    """Lets only growing fences through.  Pure."""
+    """Accepts only increasing fences."""
 
     def __init__(self) -> None:
         self.highest = types.Fence(0)
 
     def passes(self, fence: types.Fence) -> bool:
-        """Whether an order with this fence may be given."""
+        """Whether the fence is higher than all before; records it."""
         if fence <= self.highest:
             return False
         self.highest = fence
@@ -43,7 +42,7 @@
 
 
 class OrderExecutor:
-    """Gives the orders for one agent to its endpoint, one at a time."""
+    """Executes the orders for one agent, one at a time."""
 
     def __init__(
         self,
@@ -60,11 +59,11 @@
         self._engine = engine
         self._metrics = metrics
         self._gate = FenceGate()
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def on_order(self, change: machine.Change) -> None:
-        """Take a change that carries an order, perhaps for another."""
+        """Execute the order of a change if it is for this agent."""
         if change.member_name != self._name or change.order is None:
             return
         member = change.member
@@ -74,29 +73,29 @@
         if not self._gate.passes(change.fence):
             self._metrics.count("orders", OrderResult.OLD_FENCE)
             return
-        task = asyncio.create_task(self._give(change.fence, change.order))
+        task = asyncio.create_task(self._execute(change.fence, change.order))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _give(self, fence: types.Fence, what: str) -> None:
-        async with self._turn:
+    async def _execute(self, fence: types.Fence, what: str) -> None:
+        async with self._lock:
             if what == "leave":
                 self._agent.leave()
-                verdict = OrderResult.GIVEN
+                result = OrderResult.GIVEN
             else:
-                verdict = await self._to_endpoint(fence, what)
-        self._metrics.count("orders", verdict)
+                result = await self._send(fence, what)
+        self._metrics.count("orders", result)
         logs.say(
             logs.Part.AGENT,
             "Order ended.",
             what=what,
             fence=fence,
-            verdict=verdict.value,
+            result=result.value,
         )
 
-    async def _to_endpoint(self, fence: types.Fence, what: str) -> OrderResult:
+    async def _send(self, fence: types.Fence, what: str) -> OrderResult:
         try:
-            taken = await self._engine.order(fence=fence, what=what)
+            accepted = await self._engine.order(fence=fence, what=what)
         except exceptions.EngineError:
             return OrderResult.ENDPOINT_FAILED
-        return OrderResult.GIVEN if taken else OrderResult.ENDPOINT_REFUSED
+        return OrderResult.GIVEN if accepted else OrderResult.ENDPOINT_REFUSED
--- a/rackpost/agent/process.py
+++ b/rackpost/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent as a process: its endpoint, its entries, control."""
+"""The agent process: links to its endpoint, the entries and control."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class AgentProcess:
-    """A running agent."""
+    """An agent with its server for entries and its control client."""
 
     def __init__(self, *, opts: config.AgentOptions) -> None:
         self.opts = opts
@@ -119,7 +119,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[int]:
-        """Serve entries; yields the port.  Leaving gives up all work."""
+        """Serve entries; yields the port.  On exit, give up all attempts."""
         host, port = self.opts.bind()
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._engine.close)
@@ -148,7 +148,7 @@
                 task.cancel()
 
     async def stop(self) -> None:
-        """Planned stop: nothing new, what runs ends, then leave."""
+        """Refuse new work, wait for what runs, then leave the site."""
         logs.say(logs.Part.AGENT, "Leaving.", open=self.agent.open_attempts)
         self.agent.leave()
         await self.agent.drained()
--- a/rackpost/agent/prompt_chunks.py
+++ b/rackpost/agent/prompt_chunks.py
@@ -1,9 +1,8 @@
-"""Prompts cut short, to prefill a long one in parts.
+"""Truncates prompts, to prefill a long one in chunks.
 
-A part is prefilled as a request of its own for one token; the next one,
-which begins with the same text, finds it in the engine's prefix cache.
-So a more urgent prompt waits for a part and not for the whole, without
-the engine knowing of it.  Pure.
+Each chunk is sent as a request for one token, with all of the prompt up to
+the chunk's end; the engine finds what came before in its prefix cache.
+More urgent prompts can run between chunks, without support of the engine.
 """
 
 from typing import Any
@@ -14,28 +13,28 @@
 
 
 def truncate_prompt(body: bytes, tokens: int) -> bytes:
-    """The request with only about the first `tokens` of its prompt."""
-    room = tokens * prefix.BYTES_PER_TOKEN
+    """Return the request with about the first `tokens` of its prompt."""
+    left = tokens * prefix.BYTES_PER_TOKEN
     req: dict[str, Any] = msgspec.json.decode(body)
     if "messages" not in req:
-        req["prompt"] = _cut(str(req.get("prompt", "")), room)
+        req["prompt"] = _truncate(str(req.get("prompt", "")), left)
         return msgspec.json.encode(req)
     kept = []
     for msg in req["messages"]:
         text = msg.get("content")
         if not isinstance(text, str):
-            # Content in several parts is left whole.
+            # Multi-part content is not truncated.
             kept.append(msg)
             continue
-        kept.append({**msg, "content": _cut(text, room)})
+        kept.append({**msg, "content": _truncate(text, left)})
         # Messages are joined by one character each.
-        room -= len(text.encode()) + 1
-        if room <= 0:
+        left -= len(text.encode()) + 1
+        if left <= 0:
             break
     req["messages"] = kept
     return msgspec.json.encode(req)
 
 
-def _cut(text: str, room: int) -> str:
-    # A character that is cut through is left out.
-    return text.encode()[:room].decode(errors="ignore")
+def _truncate(text: str, max_bytes: int) -> str:
+    # Drops a character that the limit would split.
+    return text.encode()[:max_bytes].decode(errors="ignore")
--- a/rackpost/agent/running.py
+++ b/rackpost/agent/runner.py
@@ -1,4 +1,4 @@
-"""What runs at the endpoint for one attempt: prefill, decode or call."""
+"""Runs the prefill, decode or call of an attempt at the endpoint."""
 
 import abc
 import asyncio
@@ -13,63 +13,60 @@
 from rackpost.agent import engine as engine_mod
 from rackpost.agent import prompt_chunks
 from rackpost.agent import watchdog
-from rackpost.decide import reservations as reservations_mod
+from rackpost.decide import reservations
 from rackpost import exceptions
 from rackpost.link import messages
 from rackpost import types
 
 T = TypeVar("T")
 
-# Bytes of a plain answer that may be on the way to a caller at once, and
-# how long the agent waits for a reader that takes none, in seconds.
+# Bytes of a plain answer that may be in flight to a caller.
 WINDOW_BYTES = 256 << 10
+# How long the agent waits for a caller that reads nothing.
 SLOW_READER_S = 5.0
 
 
 class Host(abc.ABC):
-    """What a running attempt needs of its agent."""
+    """The part of the agent that a running attempt uses."""
 
     @abc.abstractmethod
     def start_ready(self) -> None:
-        """Start what may be started now."""
+        """Start all work that may start now."""
 
     @abc.abstractmethod
-    def finish(self, att: attempts.Attempt, *, whole: bool) -> None:
-        """Let go of all that the attempt holds here."""
+    def finish(self, att: attempts.Attempt, *, completed: bool) -> None:
+        """Seal the attempt and release all that it holds."""
 
     @abc.abstractmethod
-    def done(self, att: attempts.Attempt, tokens: int) -> None:
-        """Tell the entry that the answer is whole."""
+    def send_done(self, att: attempts.Attempt, tokens: int) -> None:
+        """Send that the answer is complete, and keep it for a resend."""
 
     @abc.abstractmethod
-    def say(self, session: Any, msg: msgspec.Struct) -> None:
-        """Send a message over the link of an attempt's session."""
+    def send(self, session: Any, msg: msgspec.Struct) -> None:
+        """Send a message over the link of a session."""
 
     @abc.abstractmethod
     def load(self) -> messages.Load:
-        """The endpoint's present load."""
+        """Return the endpoint's present load."""
 
 
 class Runner:
-    """Runs attempts; each in the task of its caller.
-
-    Raises EngineError where the endpoint fails.
-    """
+    """Runs attempts, each in the task that calls `run`."""
 
     def __init__(
         self,
         *,
         engine: engine_mod.Engine,
-        book: reservations_mod.EndpointLedger,
+        ledger: reservations.EndpointLedger,
         host: Host,
     ) -> None:
         self._engine = engine
-        self._book = book
+        self._ledger = ledger
         self._host = host
         self._loop = asyncio.get_running_loop()
 
     async def run(self, att: attempts.Attempt) -> None:
-        """Run an attempt that has its turn, to its end."""
+        """Run an attempt to its end; raises EngineError if it fails."""
         if isinstance(att.run, messages.RunPrefill):
             await self._run_prefill(att, att.run)
         elif isinstance(att.run, messages.RunDecode):
@@ -81,21 +78,21 @@
         self, att: attempts.Attempt, run: messages.RunPrefill
     ) -> None:
         done = att.reuse_tokens
-        while (part := self._book.chunk_tokens(att.key)) is not None:
-            done += part
-            await self._run_part(
+        while (chunk := self._ledger.chunk_tokens(att.key)) is not None:
+            done += chunk
+            await self._run_chunk(
                 att, prompt_chunks.truncate_prompt(run.body, done)
             )
         result = await self._timed(
             att,
             self._engine.prefill(
-                key=att.key, body=run.body, priority=att.asked.priority
+                key=att.key, body=run.body, priority=att.reserve_msg.priority
             ),
         )
-        self._book.record_prefill(att.key, att.spent_s)
-        self._went_well()
-        self._host.finish(att, whole=True)
-        self._host.say(
+        self._ledger.record_prefill(att.key, att.spent_s)
+        self._record_success()
+        self._host.finish(att, completed=True)
+        self._host.send(
             att.session,
             messages.PrefillDone(
                 req=run.req,
@@ -106,27 +103,27 @@
             ),
         )
 
-    async def _run_part(self, att: attempts.Attempt, body: bytes) -> None:
+    async def _run_chunk(self, att: attempts.Attempt, body: bytes) -> None:
         await self._timed(
             att,
             self._engine.warm(
-                key=att.key, body=body, priority=att.asked.priority
+                key=att.key, body=body, priority=att.reserve_msg.priority
             ),
         )
         att.turn.clear()
-        self._book.chunk_done(att.key)
+        self._ledger.chunk_done(att.key)
         self._host.start_ready()
         await att.turn.wait()
 
     async def _timed(self, att: attempts.Attempt, work: Awaitable[T]) -> T:
         limit = watchdog.prefill_limit(
-            att.asked,
+            att.reserve_msg,
             self._host.load(),
-            self._book.engine_queue_s(self._loop.time()),
+            self._ledger.engine_queue_s(self._loop.time()),
         )
-        began = self._loop.time()
-        result = await watchdog.within(limit, work)
-        att.spent_s += self._loop.time() - began
+        started = self._loop.time()
+        result = await watchdog.with_timeout(limit, work)
+        att.spent_s += self._loop.time() - started
         return result
 
     async def _run_decode(
@@ -137,27 +134,27 @@
             body=run.body,
             kv=run.kv,
             offset=run.offset,
-            priority=att.asked.priority,
+            priority=att.reserve_msg.priority,
         )
         count = 0
         last = self._loop.time()
         limits = watchdog.stream_limits(
-            att.asked,
+            att.reserve_msg,
             self._host.load(),
-            self._book.engine_queue_s(self._loop.time()),
+            self._ledger.engine_queue_s(self._loop.time()),
         )
-        guarded = watchdog.guarded(stream, limits)
-        async with contextlib.aclosing(guarded) as pieces:
+        limited = watchdog.with_stall_limits(stream, limits)
+        async with contextlib.aclosing(limited) as pieces:
             async for piece in pieces:
                 now = self._loop.time()
                 count += 1
                 if count == 1:
-                    self._went_well()
-                self._book.record_progress(
+                    self._record_success()
+                self._ledger.record_progress(
                     att.key, run.offset + count, now - last, now
                 )
                 last = now
-                att.collected.piece(piece)
+                att.collected.add_text(piece)
                 att.session.conn.send(
                     messages.Tokens(
                         req=run.req,
@@ -166,8 +163,8 @@
                         pieces=(piece,),
                     )
                 )
-        self._host.finish(att, whole=True)
-        self._host.done(att, run.offset + count)
+        self._host.finish(att, completed=True)
+        self._host.send_done(att, run.offset + count)
 
     async def _run_call(
         self, att: attempts.Attempt, run: messages.RunCall
@@ -181,11 +178,11 @@
             body=run.body,
         )
         sent = 0
-        guarded = watchdog.guarded(stream, watchdog.CALL_LIMITS)
-        async with contextlib.aclosing(guarded) as parts:
-            async for part in parts:
-                if isinstance(part, engine_mod.CallHead):
-                    self._send_head(att, part)
+        limited = watchdog.with_stall_limits(stream, watchdog.CALL_LIMITS)
+        async with contextlib.aclosing(limited) as chunks:
+            async for chunk in chunks:
+                if isinstance(chunk, engine_mod.CallHead):
+                    self._send_head(att, chunk)
                     continue
                 await self._wait_for_credit(att, sent)
                 att.session.conn.send(
@@ -193,13 +190,13 @@
                         req=run.req,
                         attempt=run.attempt,
                         offset=sent,
-                        data=part,
+                        data=chunk,
                     )
                 )
-                att.collected.part(part)
-                sent += len(part)
-        self._host.finish(att, whole=True)
-        self._host.done(att, sent)
+                att.collected.add_body(chunk)
+                sent += len(chunk)
+        self._host.finish(att, completed=True)
+        self._host.send_done(att, sent)
 
     def _send_head(
         self, att: attempts.Attempt, head: engine_mod.CallHead
@@ -210,7 +207,7 @@
             status=head.status,
             headers=head.headers,
         )
-        att.collected.head(msg)
+        att.collected.set_head(msg)
         att.session.conn.send(msg)
 
     async def _wait_for_credit(self, att: attempts.Attempt, sent: int) -> None:
@@ -222,21 +219,21 @@
             except TimeoutError:
                 raise _SlowReader() from None
 
-    def _went_well(self) -> None:
-        self._book.health.record_success(
+    def _record_success(self) -> None:
+        self._ledger.health.record_success(
             took_s=0.0, predicted_s=1.0, now=self._loop.time()
         )
 
 
 class _SlowReader(exceptions.EngineError):
-    """The caller takes nothing of its answer."""
+    """The caller reads nothing of its answer."""
 
     def __init__(self) -> None:
         super().__init__("slow reader")
 
 
 def failure_of(exc: exceptions.EngineError) -> types.Failure:
-    """The reason that goes with an endpoint's error."""
+    """Return the failure that is reported for an endpoint's error."""
     if isinstance(exc, _SlowReader):
         return types.Failure.SLOW_READER
     if isinstance(exc, watchdog.Stalled):
--- a/rackpost/agent/watchdog.py
+++ b/rackpost/agent/watchdog.py
@@ -1,7 +1,7 @@
-"""Limits on how long an endpoint may take, so that none is held for ever.
+"""Time limits on endpoints, so that no attempt hangs for ever.
 
-The limits are multiples of what the endpoint said of itself: tight enough
-to leave time for another try, wide enough for an ordinary slow moment.
+The limits are multiples of the times that the endpoint's load predicts:
+short enough to leave time for a retry, long enough for a slow moment.
 """
 
 import asyncio
@@ -22,42 +22,42 @@
 
 
 class Stalled(exceptions.EngineError):
-    """The endpoint gave nothing for too long."""
+    """The endpoint sent nothing within the time limit."""
 
 
 class Limits(NamedTuple):
-    """Seconds until the first part, and between parts."""
+    """Seconds until the first chunk, and between chunks."""
 
     first_s: float
     next_s: float
 
 
-# A plain service's own work is not known beforehand.
+# The duration of a plain service's work can't be predicted.
 CALL_LIMITS = Limits(10.0, 10.0)
 
 
 def prefill_limit(
-    asked: messages.Reserve, load: messages.Load, queue_s: float
+    msg: messages.Reserve, load: messages.Load, queue_s: float
 ) -> float:
-    """How long a prefill may take, in seconds.
+    """Return the time limit of a prefill in seconds.
 
-    `queue_s` is the work that waits within the engine before it.
+    `queue_s` is the work that is ahead of it inside the engine.
     """
-    usual = load.prefill_base_s + asked.prompt_tokens / load.prefill_tokens_s
-    return _SLOW_FACTOR * (usual + queue_s) + _GRACE_S
+    expected = load.prefill_base_s + msg.prompt_tokens / load.prefill_tokens_s
+    return _SLOW_FACTOR * (expected + queue_s) + _GRACE_S
 
 
 def stream_limits(
-    asked: messages.Reserve, load: messages.Load, queue_s: float
+    msg: messages.Reserve, load: messages.Load, queue_s: float
 ) -> Limits:
-    """How long a decode may take to its first and to its next token."""
+    """Return the time limits of a decode."""
     between = max(_MIN_TOKEN_GAP_S, _SLOW_FACTOR * load.step_s)
-    first = _SLOW_FACTOR * (asked.kv_bytes / load.link_bytes_s + load.step_s)
+    first = _SLOW_FACTOR * (msg.kv_bytes / load.link_bytes_s + load.step_s)
     return Limits(first + _GRACE_S + queue_s, between)
 
 
-async def within(limit_s: float, work: Awaitable[T]) -> T:
-    """The result of `work`; raises Stalled after `limit_s`."""
+async def with_timeout(limit_s: float, work: Awaitable[T]) -> T:
+    """Return the result of `work`; raises Stalled after `limit_s`."""
     try:
         async with asyncio.timeout(limit_s):
             return await work
@@ -65,20 +65,20 @@
         raise Stalled(f"nothing for {limit_s:.3f} s") from None
 
 
-async def guarded(
+async def with_stall_limits(
     stream: AsyncGenerator[T, None], limits: Limits
 ) -> AsyncGenerator[T, None]:
-    """The parts of `stream`; raises Stalled if one takes too long."""
+    """Yield the chunks of `stream`; raises Stalled if one takes too long."""
     loop = asyncio.get_running_loop()
     try:
         async with (
             contextlib.aclosing(stream),
             asyncio.timeout(limits.first_s) as timer,
         ):
-            async for part in stream:
+            async for chunk in stream:
                 # The consumer's own time does not count.
                 timer.reschedule(None)
-                yield part
+                yield chunk
                 timer.reschedule(loop.time() + limits.next_s)
     except TimeoutError:
         raise Stalled("nothing for too long") from None
--- a/rackpost/decide/transfer_queue.py
+++ b/rackpost/decide/transfer_queue.py
@@ -35,7 +35,7 @@
         return self._jobs.free_at(now) - now
 
     def due_s(self, now: float) -> float:
-        """Return the seconds until the running transfer is due."""
+        """Return the seconds until the running transfer is due, or 0."""
         return self._jobs.due_s(now)
 
     def reserve(
