--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""A small site and callers for it, in virtual time."""
+"""A small site in virtual time, and requests to it."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class Got(NamedTuple):
-    """What a caller received."""
+    """What a caller received: text, end and whether the answer is right."""
 
     pieces: list[str]
     end: request.End
@@ -37,7 +37,7 @@
     spec: engine.EngineSpec | None = None,
     **more: object,
 ) -> site_mod.Site:
-    """A site with one entry."""
+    """Return a site with one entry."""
     site = site_mod.Site(
         delays=site_mod.Delays(),
         seed=seed,
@@ -64,7 +64,7 @@
     claim: str | None = None,
     **terms: float,
 ) -> request.Request:
-    """A request to the model service."""
+    """Return a request to the model service."""
     text = f"{name} " + "word " * words
     body = json.dumps(
         {
@@ -92,7 +92,7 @@
 
 
 def call(name: str, body: bytes = b"") -> request.Request:
-    """A request to the plain service."""
+    """Return a request to the plain service."""
     return request.Request(
         req=types.RequestId(name),
         caller=types.CallerId("postal"),
@@ -107,7 +107,7 @@
 
 
 async def take(entry: entry_core.Entry, req: request.Request) -> Got:
-    """Serve a request to its end."""
+    """Send a request and collect its answer."""
     pieces: list[str] = []
     body = b""
     end: request.End | None = None
@@ -121,15 +121,15 @@
             end = event
     assert end is not None
     if req.plain is not None:
-        want = plain.answer_to("GET", "/a", "q=1", req.body)
-        return Got(pieces, end, body == want)
+        expected = plain.answer_to("GET", "/a", "q=1", req.body)
+        return Got(pieces, end, body == expected)
     return Got(pieces, end, pieces == engine.answer_to(req.body))
 
 
 async def leave_after(
     entry: entry_core.Entry, req: request.Request, seconds: float
 ) -> None:
-    """A caller that is gone after some time."""
+    """Send a request and cancel it after `seconds`."""
     task = asyncio.create_task(take(entry, req))
     await asyncio.sleep(seconds)
     task.cancel()
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand of what counts more, for one endpoint of the whole pool."""
+"""Demand of requests of higher value density, per endpoint."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
     return demand.Offer(at, density, 0.1, target)
 
 
-def test_only_denser_work_counts_and_urgent_work_apart() -> None:
+def test_only_denser_requests_count_with_urgent_ones_apart() -> None:
     seen = demand.DemandEstimator()
     seen.record_offer(KIND, offer(0.0, 9.0, target=0.2))
     seen.record_offer(KIND, offer(0.0, 8.0, target=0.9))
@@ -27,7 +27,7 @@
     assert seen.higher_density_than(offer(9.0, 5.0)) == demand.NO_DEMAND
 
 
-def test_a_declared_kind_counts_until_it_has_not_shown() -> None:
+def test_a_declared_kind_counts_until_its_requests_fail_to_come() -> None:
     declared = [declared_events.DeclaredEvent(100.0, 60.0, (KIND,), 30.0)]
 
     def rate(now: float, seen: float) -> float:
@@ -44,7 +44,7 @@
     assert rate(161.0, 20.0) == 0.0
 
 
-class _Known(core.InForce):
+class _TwentyEndpoints(core.InForce):
     """A site of twenty endpoints of each role."""
 
     def members(
@@ -54,8 +54,8 @@
 
 
 def test_demand_is_shared_by_all_endpoints_not_only_the_linked_ones() -> None:
-    # Bug: an entry that is linked to 4 of 20 took the site's demand to
-    # fall on those 4, and asked each to keep five times too much room.
+    # Guards against dividing the site's demand by the linked endpoints,
+    # which makes each keep several times too much capacity.
     async def main() -> None:
         site = driver.small_site(prefills=2, decodes=2)
         await asyncio.sleep(0.1)
@@ -63,7 +63,7 @@
         linked = entry.pool.views_of(driver.SERVICE)
         entry.offers.denser(driver.ask("dense", weight=50.0), linked)
         few = entry.offers.denser(driver.ask("light"), linked)
-        entry.offers._members = _Known().members
+        entry.offers._members = _TwentyEndpoints().members
         many = entry.offers.denser(driver.ask("light2"), linked)
         assert abs(few.other_rate / many.other_rate - 10.0) < 1e-9
         site.close()
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""One caller's flood does not starve another."""
+"""A caller that sends too many requests does not starve another."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 B = types.CallerId("b")
 
 
-def test_a_caller_above_its_even_share_is_lowered_by_as_much() -> None:
+def test_density_is_lowered_by_the_excess_over_an_even_share() -> None:
     fair = fairness.FairShareTracker()
     for number in range(400):
         at = number * 0.05
@@ -30,13 +30,13 @@
         await asyncio.sleep(0.1)
         entry = site.entries[0]
 
-        async def send(who: str, number: int) -> bool:
-            req = driver.ask(f"{who}{number}", max_tokens=10)
-            req = msgspec.structs.replace(req, caller=types.CallerId(who))
-            got = await driver.take(entry, req)
-            return got.end.outcome is types.Outcome.ANSWERED
+        async def send(caller: str, number: int) -> bool:
+            req = driver.ask(f"{caller}{number}", max_tokens=10)
+            req = msgspec.structs.replace(req, caller=types.CallerId(caller))
+            result = await driver.take(entry, req)
+            return result.end.outcome is types.Outcome.ANSWERED
 
-        # One prefill takes 73 ms: the flood alone is twice too much.
+        # One prefill takes 73 ms: the flood alone is twice the capacity.
         tasks: dict[str, list[asyncio.Task[bool]]] = {"flood": [], "few": []}
         for number in range(300):
             tasks["flood"].append(asyncio.create_task(send("flood", number)))
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames that are late, doubled, missing or of another attempt."""
+"""Frames that are late, duplicated, missing or of another attempt."""
 
 import asyncio
 
@@ -38,8 +38,8 @@
         at = entry._open[types.RequestId("a")].delivered
         peer = entry.pool.peer(types.AgentId("t2"))
         assert peer is not None
-        # A frame that would fit, but of another attempt, and of another
-        # request that is no longer there.
+        # A frame with the expected offset but of another attempt, and one of
+        # a request that has ended.
         entry._on_message(peer, tokens("a", 7, at, "crossed "))
         entry._on_message(peer, tokens("gone", 1, 0, "late "))
         got = await task
@@ -62,7 +62,7 @@
         await asyncio.sleep(0.3)
         peer = entry.pool.peer(types.AgentId("t2"))
         assert peer is not None
-        # The first piece comes once more, long after it was taken.
+        # The first frame arrives again.
         entry._on_message(peer, tokens("a", 1, 0, "doubled "))
         got = await task
         assert got.whole
@@ -72,14 +72,14 @@
     virtual.run(main())
 
 
-class Stale:
-    """An entry that knows nothing newer and releases nothing."""
+class StaleEntry:
+    """An entry with outdated state, which releases nothing."""
 
     def __init__(self, agent: core.Agent) -> None:
-        self.got: list[object] = []
-        self.conn, there = channel.local_pair(delay_s=0.001)
-        self.conn.attach(receive=self.got.append, closed=lambda: None)
-        agent.connect(there)
+        self.received: list[object] = []
+        self.conn, agent_side = channel.local_pair(delay_s=0.001)
+        self.conn.attach(receive=self.received.append, closed=lambda: None)
+        agent.connect(agent_side)
 
     async def reserve(self) -> object:
         self.conn.send(
@@ -94,22 +94,22 @@
             )
         )
         await asyncio.sleep(0.01)
-        return self.got[-1]
+        return self.received[-1]
 
 
 def test_a_run_that_arrives_after_the_seal_is_dropped() -> None:
     async def main() -> None:
         site = driver.small_site()
         agent = site.nodes["p0"].agent
-        # Another entry has it sealed before the reservation arrives.
-        sealing = Stale(agent)
+        # Another entry seals the attempt before the reservation arrives.
+        sealing = StaleEntry(agent)
         sealing.conn.send(
             messages.Seal(req=types.RequestId("x"), attempt=types.Attempt(1))
         )
         await asyncio.sleep(0.01)
-        sealed = sealing.got[-1]
+        sealed = sealing.received[-1]
         assert isinstance(sealed, messages.Sealed) and not sealed.ran
-        stale = Stale(agent)
+        stale = StaleEntry(agent)
         await stale.reserve()
         stale.conn.send(
             messages.RunCall(
@@ -134,7 +134,7 @@
         site = driver.small_site()
         agent = site.nodes["p0"].agent
         agent.leave()
-        reply = await Stale(agent).reserve()
+        reply = await StaleEntry(agent).reserve()
         assert isinstance(reply, messages.Refused)
         assert reply.reason is types.Refusal.LEAVING
         assert agent.open_attempts == 0
@@ -150,10 +150,10 @@
 
 
 def test_ended_attempts_are_forgotten_after_a_while() -> None:
-    # At 5 attempts a second a memory of 65,536 took 13 MB (CAPACITY).
-    memory = attempts.EndedAttempts()
+    # Guards against memory that grows with the number of attempts.
+    ended = attempts.EndedAttempts()
     for number in range(5000):
         key = slots.AttemptKey(types.RequestId(f"r{number}"), types.Attempt(1))
-        memory.add(key, attempts.Ending.RAN, float(number))
-    assert len(memory) <= attempts.RETENTION_S + 1
-    assert memory.ending(key) is attempts.Ending.RAN
+        ended.add(key, attempts.Ending.RAN, float(number))
+    assert len(ended) <= attempts.RETENTION_S + 1
+    assert ended.ending(key) is attempts.Ending.RAN
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders reach an endpoint once, and only the agent they were given to."""
+"""Orders are executed once, by the incarnation that they are for."""
 
 import asyncio
 
@@ -16,10 +16,10 @@
     """An endpoint that checks no fence."""
 
     def __init__(self) -> None:
-        self.given: list[str] = []
+        self.received: list[str] = []
 
     async def order(self, *, fence: types.Fence, what: str) -> bool:
-        self.given.append(what)
+        self.received.append(what)
         return True
 
 
@@ -33,15 +33,15 @@
     )
 
 
-def test_a_restarted_agent_carries_out_no_order_of_the_past() -> None:
-    # Bug: a restarted agent was fed the history from the first revision
-    # on, and carried out the 'leave' that its forerunner had been given.
+def test_a_restarted_agent_repeats_no_past_order() -> None:
+    # Guards against executing an order to an earlier incarnation, which a
+    # restarted agent receives again with the past changes.
     async def main() -> None:
         site = driver.small_site(spec=engine.EngineSpec(checks_fence=False))
         await asyncio.sleep(0.1)
         agent = site.nodes["t2"].agent
         endpoint = _Endpoint()
-        mine = orders.OrderExecutor(
+        executor = orders.OrderExecutor(
             name="a1",
             incarnation=types.Incarnation(2),
             agent=agent,
@@ -55,9 +55,9 @@
             order("load y", 6, 2),
             order("load x", 5, 2),
         ):
-            mine.on_order(change)
+            executor.on_order(change)
         await asyncio.sleep(0.1)
-        assert endpoint.given == ["load y"]
+        assert endpoint.received == ["load y"]
         assert not agent.ledger.leaving
         site.close()
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -12,7 +12,7 @@
 OK = types.Outcome.ANSWERED
 
 
-def test_a_request_is_answered_whole() -> None:
+def test_a_request_is_answered_completely() -> None:
     async def main() -> None:
         site = driver.small_site()
         await asyncio.sleep(0.1)
@@ -25,7 +25,7 @@
     virtual.run(main())
 
 
-def test_a_plain_call_is_passed_on() -> None:
+def test_a_plain_call_is_forwarded() -> None:
     async def main() -> None:
         site = driver.small_site()
         await asyncio.sleep(0.1)
@@ -36,7 +36,7 @@
     virtual.run(main())
 
 
-def test_a_burst_is_answered_or_refused_and_never_crossed() -> None:
+def test_a_burst_is_answered_or_refused_and_answers_never_mixed() -> None:
     async def main() -> None:
         site = driver.small_site()
         await asyncio.sleep(0.1)
@@ -52,7 +52,7 @@
         assert len(answered) >= 10 and len(refused) >= 20
         assert all(item.whole for item in answered)
         assert not any(item.pieces for item in refused)
-        # What was refused as not run must have cost nothing at all.
+        # Refused requests must not have run at an engine.
         assert len(site.ledger.runs) == len(answered)
         assert len(site.ledger.prefilled) == len(answered)
         assert not site.held()
@@ -61,8 +61,8 @@
     virtual.run(main())
 
 
-# Moments at which a caller leaves: in the agent's queue, in prefill, in
-# the transfer, in decode.  The prefill takes 0.5 s, the transfer 0.4 s.
+# Prefill takes 0.5 s and the transfer 0.4 s, so that a caller can leave in
+# the agent's queue, in prefill, in the transfer and in decode.
 SLOW = engine.EngineSpec(prefill_base_s=0.5, link_bytes_s=1.3e8, kv_keep_s=0.8)
 
 
@@ -167,7 +167,7 @@
         assert late.end.reason is types.Refusal.ENTRY_STOPPING
         got = await asyncio.gather(*tasks, *more)
         assert all(item.whole for item in got)
-        # Whole by being let end, not by being tried again elsewhere.
+        # Complete because they could end, not because of a retry elsewhere.
         assert not entry.metrics.totals("retried")
         await entry.drained()
         site.close()
@@ -176,8 +176,8 @@
 
 
 def test_a_fault_in_an_attempts_task_ends_the_attempt() -> None:
-    # Bug: an answer's head whose header names were no plain strings could
-    # not be encoded; the task died and the attempt was held for ever.
+    # Guards against an attempt that stays open for ever because its task
+    # raised an unexpected exception.
     async def main() -> None:
         site = driver.small_site()
         await asyncio.sleep(0.1)
@@ -197,9 +197,8 @@
     virtual.run(main())
 
 
-def test_cache_events_are_not_asked_of_a_plain_service() -> None:
-    # Bug: the agent asked every endpoint, which a plain service took as a
-    # call.
+def test_cache_events_are_not_requested_from_a_plain_service() -> None:
+    # A plain service would take the request as a call.
     async def main() -> None:
         site = driver.small_site()
         await asyncio.sleep(2.0)
@@ -217,27 +216,27 @@
     virtual.run(main())
 
 
-def test_idle_links_are_nearly_silent_and_changes_are_told_soon() -> None:
-    # 192 links with two summaries a second each cost 80 KB/s (CAPACITY).
+def test_idle_links_are_nearly_silent_and_changes_are_reported_soon() -> None:
+    # Guards against the traffic of load reports on hundreds of idle links.
     async def main() -> None:
         site = driver.small_site()
         await asyncio.sleep(6.0)
         entry = site.entries[0]
-        told: list[float] = []
+        reports: list[float] = []
         loop = asyncio.get_running_loop()
         learn = entry.pool.learn
 
         def counting(agent: types.AgentId, load: object) -> None:
-            told.append(loop.time())
+            reports.append(loop.time())
             learn(agent, load)  # type: ignore[arg-type]
 
         entry.pool.learn = counting  # type: ignore[method-assign]
         await asyncio.sleep(20.0)
-        assert len(told) <= 5 * len(site.nodes)
-        # Another entry fills an endpoint; this one is told in a second.
+        assert len(reports) <= 5 * len(site.nodes)
+        # Another entry fills an endpoint; this one learns of it in a second.
         other = site.add_entry("e1", driver.HALL)
         await asyncio.sleep(0.1)
-        told.clear()
+        reports.clear()
         asked = [
             asyncio.create_task(
                 driver.take(other, driver.ask(f"r{i}", max_tokens=60))
@@ -245,7 +244,7 @@
             for i in range(8)
         ]
         await asyncio.sleep(1.0)
-        assert told
+        assert reports
         await asyncio.gather(*asked)
         site.close()
 
--- a/tests/test_segments.py
+++ b/tests/test_prompt_chunks.py
@@ -1,4 +1,4 @@
-"""Prompts cut short for prefill in parts."""
+"""Truncated prompts, and prefill in chunks."""
 
 import asyncio
 import json
@@ -13,26 +13,26 @@
 from tests import driver
 
 
-def test_a_cut_prompt_shares_its_blocks_with_the_whole_one() -> None:
+def test_a_truncated_prompt_shares_the_blocks_of_the_full_one() -> None:
     texts = ["a" * 700, "b" * 3000, "cé" * 900]
     body = json.dumps(
         {"messages": [{"role": "user", "content": text} for text in texts]}
     ).encode()
-    whole = prefix.block_hashes(engine.prompt_of(body))
+    full = prefix.block_hashes(engine.prompt_of(body))
     for tokens in (64, 128, 500, 1024):
         cut = engine.prompt_of(prompt_chunks.truncate_prompt(body, tokens))
         found = prefix.block_hashes(cut)
         assert len(found) >= tokens // prefix.BLOCK_TOKENS - 1
-        assert found == whole[: len(found)]
+        assert found == full[: len(found)]
         assert len(cut) <= tokens * prefix.BYTES_PER_TOKEN + 1
 
 
-def test_a_short_prompt_passes_a_long_one_that_runs() -> None:
+def test_a_short_prompt_runs_between_the_chunks_of_a_long_one() -> None:
     async def main() -> None:
         site = driver.small_site(prefills=1, decodes=1)
         await asyncio.sleep(0.1)
         entry = site.entries[0]
-        # About 1.1 s of prefill, in nine parts.
+        # About 1.1 s of prefill, in nine chunks.
         long = asyncio.create_task(
             driver.take(entry, driver.ask("long", words=7000, ttft_s=4.0))
         )
@@ -41,18 +41,18 @@
         assert short.end.outcome is types.Outcome.ANSWERED
         assert not long.done()
         assert (await long).whole
-        parts = site.ledger.prefilled_for(types.RequestId("long"))
-        # What the parts prefill is not prefilled again.
-        assert sum(parts) <= 8800
+        prefilled = site.ledger.prefilled_for(types.RequestId("long"))
+        # No chunk prefills again what an earlier one did.
+        assert sum(prefilled) <= 8800
         assert not site.held()
         site.close()
 
     virtual.run(main())
 
 
-def test_a_prefill_that_breaks_after_a_part_has_run() -> None:
-    # Bug: the engine turned the second part away as not started, and the
-    # whole attempt counted as never run.
+def test_a_prefill_that_fails_after_its_first_chunk_may_have_run() -> None:
+    # Guards against reporting the attempt as not run because the engine
+    # rejected only a later chunk.
     async def main() -> None:
         site = driver.small_site(prefills=1, decodes=1)
         await asyncio.sleep(0.1)
@@ -60,19 +60,19 @@
         warm = node.engine.warm
         calls = []
 
-        async def busy(**part: Any) -> None:
-            calls.append(part)
+        async def busy(**chunk: Any) -> None:
+            calls.append(chunk)
             if len(calls) > 1:
                 raise exceptions.EngineError("429: busy", ran=False)
-            await warm(**part)
+            await warm(**chunk)
 
         node.engine.warm = busy  # type: ignore[method-assign]
         req = driver.ask(
             "long", words=7000, ttft_s=4.0, repeat=types.RepeatClass.ONCE
         )
-        got = await driver.take(site.entries[0], req)
+        result = await driver.take(site.entries[0], req)
         assert len(calls) == 2 and site.ledger.prefilled
-        assert got.end.outcome is types.Outcome.UNKNOWN
+        assert result.end.outcome is types.Outcome.UNKNOWN
         assert node.agent.open_attempts == 0
         site.close()
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""What is tried again, and what the caller is told if it is not."""
+"""Which failed attempts are retried, and the outcome of the others."""
 
 import random
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("repeat", [FREE, SINGLE])
-def test_what_may_repeat_is_tried_again_in_time(
+def test_a_repeatable_request_is_retried_while_there_is_time(
     repeat: types.RepeatClass,
 ) -> None:
     assert isinstance(decide(repeat=repeat), retry.Retry)
@@ -49,22 +49,22 @@
     assert isinstance(often, retry.GiveUp)
 
 
-def test_what_may_run_once_is_tried_again_only_if_it_never_ran() -> None:
+def test_a_once_request_is_retried_only_if_it_never_ran() -> None:
     assert decide(repeat=ONCE) == retry.GiveUp(UNKNOWN, types.Failure.ENGINE)
-    again = decide(repeat=ONCE, ran=False, stage=NOTHING)
-    assert isinstance(again, retry.Retry)
-    # Handed over before, even if this part was sealed: it may have run.
+    retried = decide(repeat=ONCE, ran=False, stage=NOTHING)
+    assert isinstance(retried, retry.Retry)
+    # Handed over in an earlier stage: it may have run.
     assert isinstance(decide(repeat=ONCE, ran=False), retry.GiveUp)
     late = decide(repeat=ONCE, ran=False, stage=NOTHING, left_s=0.0)
     assert late == retry.GiveUp(NOT_RUN, types.Failure.ENGINE)
 
 
-def test_a_third_of_the_endpoints_gone_makes_no_retry_storm() -> None:
+def test_a_third_of_the_endpoints_failing_makes_no_retry_storm() -> None:
     budget = retry.RetryBudget()
     retries = 0
     for number in range(3000):
         budget.record_request(0.1)
-        # Every third attempt breaks, and so do a third of the retries.
+        # Every third attempt fails, and so do a third of the retries.
         if number % 3 == 0 and isinstance(decide(budget=budget), retry.Retry):
             retries += 1
     assert retries <= 0.1 * 3000 + 10
--- a/tests/test_come_back.py
+++ b/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When refused callers are told to come back."""
+"""Retry-After of refusals, and orders to agents on leaving VMs."""
 
 import asyncio
 
@@ -12,12 +12,14 @@
 FULL = types.Refusal.QUEUE_KEPT
 
 
-def test_a_longer_backlog_and_denser_work_send_callers_back_later() -> None:
+def test_a_longer_backlog_and_denser_demand_lengthen_the_delay() -> None:
     idle = retry_after.delay_s(FULL, backlog_s=0.0, higher_density_load=0.0)
     busy = retry_after.delay_s(FULL, backlog_s=2.0, higher_density_load=0.0)
-    rush = retry_after.delay_s(FULL, backlog_s=2.0, higher_density_load=0.9)
-    never = retry_after.delay_s(FULL, backlog_s=99.0, higher_density_load=5.0)
-    assert idle == 0.5 < busy < rush < never == 30.0
+    crowded = retry_after.delay_s(FULL, backlog_s=2.0, higher_density_load=0.9)
+    limited = retry_after.delay_s(
+        FULL, backlog_s=99.0, higher_density_load=5.0
+    )
+    assert idle == 0.5 < busy < crowded < limited == 30.0
     away = types.Refusal.CONTROL_AWAY
     assert (
         retry_after.delay_s(away, backlog_s=9.0, higher_density_load=0.9)
@@ -25,8 +27,8 @@
     )
 
 
-class _Listed(platform.PlatformList):
-    """A list that lags: it says so long after the VM began to leave."""
+class _LaggingList(platform.PlatformList):
+    """A platform list that reports a leaving VM late."""
 
     async def read(self) -> list[platform.Vm]:
         now = asyncio.get_running_loop().time()
@@ -46,7 +48,7 @@
         tasks = [asyncio.create_task(client.run())]
         for item in group.up.values():
             hints = platform.LeavingVmOrders(
-                node=item.node, platform=_Listed()
+                node=item.node, platform=_LaggingList()
             )
             tasks.append(asyncio.create_task(hints.run()))
         await asyncio.sleep(7.0)
