--- a/rackpost/agent/attempts.py
+++ b/rackpost/agent/attempts.py
@@ -19,7 +19,7 @@
 class State(enum.Enum):
     """State of an attempt at its agent."""
 
-    RESERVED = "promised"
+    RESERVED = "reserved"
     READY = "ready"
     RUNNING = "running"
     ENDED = "ended"
@@ -67,7 +67,7 @@
 
     NEVER_RAN = "never-ran"
     RAN = "ran"
-    COMPLETED = "whole"
+    COMPLETED = "completed"
 
 
 class _EndedAttempt(NamedTuple):
--- a/rackpost/agent/core.py
+++ b/rackpost/agent/core.py
@@ -244,7 +244,7 @@
             ran = exc.ran or att.spent_s > 0.0
             if exc.backoff_s > 0.0:
                 # Reported in the load, so that entries avoid the endpoint.
-                self.ledger.health.record_backoff(
+                self.ledger.breaker.record_backoff(
                     exc.backoff_s, self._loop.time()
                 )
             self._fail(att, runner.failure_of(exc), ran=ran)
@@ -296,10 +296,11 @@
         self, att: attempts.Attempt, reason: types.Failure, *, ran: bool
     ) -> None:
         now = self._loop.time()
-        if reason in _ENDPOINT_FAILURES and not self.ledger.health.in_backoff(
-            now
+        if (
+            reason in _ENDPOINT_FAILURES
+            and not self.ledger.breaker.in_backoff(now)
         ):
-            self.ledger.health.record_failure(now)
+            self.ledger.breaker.record_failure(now)
         self.finish(att, completed=False)
         self.metrics.count("failed", reason, att.reserve_msg.kind)
         self.send(
--- a/rackpost/agent/process.py
+++ b/rackpost/agent/process.py
@@ -124,7 +124,7 @@
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._engine.close)
             await stack.enter_async_context(core.running(self.agent))
-            found = await stack.enter_async_context(
+            bound_port = await stack.enter_async_context(
                 websocket.serving(
                     host,
                     port,
@@ -139,11 +139,11 @@
                     },
                 )
             )
-            self.client = self._client(found)
+            self.client = self._client(bound_port)
             task = asyncio.create_task(self.client.run())
-            logs.say(logs.Part.AGENT, "Serving entries.", port=found)
+            logs.say(logs.Part.AGENT, "Serving entries.", port=bound_port)
             try:
-                yield found
+                yield bound_port
             finally:
                 task.cancel()
 
--- a/rackpost/agent/runner.py
+++ b/rackpost/agent/runner.py
@@ -220,7 +220,7 @@
                 raise _SlowReader() from None
 
     def _record_success(self) -> None:
-        self._ledger.health.record_success(
+        self._ledger.breaker.record_success(
             took_s=0.0, predicted_s=1.0, now=self._loop.time()
         )
 
--- a/rackpost/decide/circuit_breaker.py
+++ b/rackpost/decide/circuit_breaker.py
@@ -20,9 +20,9 @@
 class State(enum.Enum):
     """State of a circuit breaker."""
 
-    CLOSED = "good"
-    OPEN = "avoided"
-    HALF_OPEN = "trial"
+    CLOSED = "closed"
+    OPEN = "open"
+    HALF_OPEN = "half-open"
 
 
 class CircuitBreaker:
--- a/rackpost/decide/prefill_queue.py
+++ b/rackpost/decide/prefill_queue.py
@@ -28,10 +28,10 @@
     done and the rest is queued.
     """
 
-    RESERVED = "promised"
+    RESERVED = "reserved"
     READY = "ready"
     RUNNING = "running"
-    PREEMPTED = "begun"
+    PREEMPTED = "preempted"
 
 
 class PrefillQueue:
--- a/rackpost/decide/reservations.py
+++ b/rackpost/decide/reservations.py
@@ -22,7 +22,7 @@
 _EWMA_WEIGHT = 0.1
 
 
-# Bounds what is lost when a trial request after a failure fails too.
+# Bounds the work lost if the trial request after a failure fails too.
 _MAX_TRIAL_TOKENS = 1024
 
 
@@ -65,7 +65,7 @@
         self.role = spec.role
         self.revision = types.Revision(0)
         self.leaving = False
-        self.health = circuit_breaker.CircuitBreaker(rng=random.Random(0))
+        self.breaker = circuit_breaker.CircuitBreaker(rng=random.Random(0))
 
     @abc.abstractmethod
     def reserve(
@@ -158,13 +158,13 @@
         else:
             result = self._reserve_slot(msg, key, now)
         if isinstance(result, ReservationTerms):
-            self.health.record_attempt(now)
+            self.breaker.record_attempt(now)
             self._requests[key] = msg
             self._deadlines[key] = now + msg.within_s
         return result
 
     def _breaker_allows(self, msg: messages.Reserve, now: float) -> bool:
-        state = self.health.state(now)
+        state = self.breaker.state(now)
         if state is circuit_breaker.State.HALF_OPEN:
             return msg.prompt_tokens <= _MAX_TRIAL_TOKENS
         return state is circuit_breaker.State.CLOSED
@@ -337,7 +337,7 @@
             role=self.role,
             revision=self.revision,
             leaving=self.leaving,
-            avoided=self.health.state(now) is circuit_breaker.State.OPEN,
+            avoided=self.breaker.state(now) is circuit_breaker.State.OPEN,
             slots=spec.slots,
             used=self._slots.used,
             free_in_s=slot_wait,
--- a/rackpost/decide/retry.py
+++ b/rackpost/decide/retry.py
@@ -16,7 +16,7 @@
 class Stage(enum.Enum):
     """How far a request had come when its attempt failed."""
 
-    NOT_HANDED_OVER = "nothing"
+    NOT_HANDED_OVER = "not-handed-over"
     HANDED_OVER = "handed-over"
     STREAMING = "streaming"
 
