--- a/lab/promises.py
+++ b/lab/promises.py
@@ -82,7 +82,7 @@
         "An endpoint that is leaving receives no new work",
         "test_frames.py::test_a_leaving_agent_refuses_an_entry_that_does"
         "_not_know",
-        "rackpost/decide/book.py",
+        "rackpost/decide/reservations.py",
         "        if self.leaving:\n            return types.Refusal.LEAVING\n"
         "        if msg.part",
         "        if msg.part",
@@ -92,8 +92,8 @@
         "test_path.py::test_a_planned_stop_cuts_nothing_and_takes_nothing"
         "_new",
         "rackpost/agent/core.py",
-        "        self.book.leaving = True\n",
-        "        self.book.leaving = True\n        self.close()\n",
+        "        self.ledger.leaving = True\n",
+        "        self.ledger.leaving = True\n        self.close()\n",
     ),
     Mechanism(
         "A configuration that has been accepted never reverts",
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -17,11 +17,11 @@
 from rackpost.consensus import output
 from rackpost.consensus import storage
 from rackpost.control import messages as control
-from rackpost.decide import book
 from rackpost.decide import demand
+from rackpost.decide import endpoint_view
 from rackpost.decide import placement
+from rackpost.decide import reservations
 from rackpost.decide import slots
-from rackpost.decide import views
 from rackpost.entry import attempt
 from rackpost.link import codec
 from rackpost.link import messages
@@ -50,12 +50,12 @@
     )
 
 
-def _views(count: int) -> list[views.EndpointView]:
+def _views(count: int) -> list[endpoint_view.EndpointView]:
     found = []
     for idx in range(count):
         role = types.Role.PREFILL if idx % 2 else types.Role.DECODE
         found.append(
-            views.EndpointView(
+            endpoint_view.EndpointView(
                 agent=types.AgentId(f"a{idx}"),
                 service=types.ServiceName("s"),
                 data_centre=types.DataCentre("d"),
@@ -67,8 +67,8 @@
     return found
 
 
-def _ask() -> views.Ask:
-    return views.Ask(
+def _ask() -> endpoint_view.Requirements:
+    return endpoint_view.Requirements(
         service=types.ServiceName("s"),
         kind=types.KindName("k"),
         prompt_tokens=2000,
@@ -90,7 +90,7 @@
         times = []
         for _ in range(600):
             began = time.perf_counter()
-            policy.place(ask=ask, pool=pool, now=1.0)
+            policy.place(requirements=ask, pool=pool, now=1.0)
             times.append((time.perf_counter() - began) * 1e6)
         times.sort()
         found[count] = (times[len(times) // 2], times[int(len(times) * 0.99)])
@@ -103,20 +103,22 @@
     for count in (500, 1000, 2000):
 
         def work() -> None:
-            kept = book.PromiseBook(
-                spec=book.EndpointSpec(role=types.Role.DECODE)
+            kept = reservations.ReservationLedger(
+                spec=reservations.EndpointSpec(role=types.Role.DECODE)
             )
             for idx in range(count):
-                key = slots.Key(types.RequestId(f"r{idx}"), types.Attempt(1))
-                kept.promise(_reserve(idx), key, idx * 0.01)
-                kept.ready(key)
+                key = slots.AttemptKey(
+                    types.RequestId(f"r{idx}"), types.Attempt(1)
+                )
+                kept.reserve(_reserve(idx), key, idx * 0.01)
+                kept.mark_ready(key)
                 kept.next_start(idx * 0.01)
                 kept.load(idx * 0.01)
                 if idx >= 18:
-                    old = slots.Key(
+                    old = slots.AttemptKey(
                         types.RequestId(f"r{idx - 18}"), types.Attempt(1)
                     )
-                    kept.end(old, idx * 0.01, whole=True)
+                    kept.release(old, idx * 0.01, completed=True)
 
         points.append((float(count), measure.cpu_of(work)))
     return points
@@ -163,11 +165,11 @@
     for rate in (5, 10, 20, 40):
 
         def work() -> None:
-            seen = demand.Demand()
+            seen = demand.DemandEstimator()
             for idx in range(2000):
                 offer = demand.Offer(idx / rate, idx % 7, 0.05, 0.5)
-                seen.offered(types.KindName("k"), offer)
-                seen.above(offer)
+                seen.record_offer(types.KindName("k"), offer)
+                seen.higher_density_than(offer)
 
         points.append((float(rate), measure.cpu_of(work) / 2000))
     return points
--- a/rackpost/agent/process.py
+++ b/rackpost/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent as a process: its endpoint, its entries, control."""
+"""The agent process: links to its endpoint, the entries and control."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 from rackpost import config
 from rackpost.control import client as client_mod
 from rackpost.control import messages as control_messages
-from rackpost.decide import book
+from rackpost.decide import reservations
 from rackpost import exceptions
 from rackpost.link import messages
 from rackpost.link import websocket
@@ -23,7 +23,7 @@
 
 
 class AgentProcess:
-    """A running agent."""
+    """An agent with its server for entries and its control client."""
 
     def __init__(self, *, opts: config.AgentOptions) -> None:
         self.opts = opts
@@ -32,8 +32,8 @@
         self.incarnation = types.Incarnation(time.time_ns())
         self._engine = engine_http.HttpEngine(url=opts.endpoint)
         role = opts.parsed_role()
-        self.book = book.PromiseBook(
-            spec=book.EndpointSpec(
+        self.ledger = reservations.ReservationLedger(
+            spec=reservations.EndpointSpec(
                 role=role,
                 slots=opts.slots,
                 prefill_tokens_s=opts.prefill_rate,
@@ -49,12 +49,12 @@
                 incarnation=self.incarnation,
             ),
             engine=self._engine,
-            book=self.book,
+            ledger=self.ledger,
             metrics=self.metrics,
-            behind=self._on_peer_revision,
+            on_peer_revision=self._on_peer_revision,
         )
         self.client: client_mod.ControlClient | None = None
-        self.orders: orders.Orders | None = None
+        self.orders: orders.OrderExecutor | None = None
 
     def _client(self, port: int) -> client_mod.ControlClient:
         opts = self.opts
@@ -68,7 +68,7 @@
             service=types.ServiceName(opts.service),
             role=opts.parsed_role(),
         )
-        self.orders = orders.Orders(
+        self.orders = orders.OrderExecutor(
             name=opts.name,
             incarnation=self.incarnation,
             agent=self.agent,
@@ -92,7 +92,7 @@
 
     def _changed(self) -> None:
         assert self.client is not None
-        self.book.revision = self.client.in_force.revision
+        self.ledger.revision = self.client.in_force.revision
 
     def _on_peer_revision(self, revision: types.Revision) -> None:
         if self.client is not None:
@@ -119,12 +119,12 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[int]:
-        """Serve entries; yields the port.  Leaving gives up all work."""
+        """Serve entries; yields the port.  On exit, give up all attempts."""
         host, port = self.opts.bind()
         async with contextlib.AsyncExitStack() as stack:
             stack.push_async_callback(self._engine.close)
             await stack.enter_async_context(core.running(self.agent))
-            found = await stack.enter_async_context(
+            bound_port = await stack.enter_async_context(
                 websocket.serving(
                     host,
                     port,
@@ -139,16 +139,16 @@
                     },
                 )
             )
-            self.client = self._client(found)
+            self.client = self._client(bound_port)
             task = asyncio.create_task(self.client.run())
-            logs.say(logs.Part.AGENT, "Serving entries.", port=found)
+            logs.say(logs.Part.AGENT, "Serving entries.", port=bound_port)
             try:
-                yield found
+                yield bound_port
             finally:
                 task.cancel()
 
     async def stop(self) -> None:
-        """Planned stop: nothing new, what runs ends, then leave."""
+        """Refuse new work, wait for what runs, then leave the site."""
         logs.say(logs.Part.AGENT, "Leaving.", open=self.agent.open_attempts)
         self.agent.leave()
         await self.agent.drained()
--- a/rackpost/coordinator/disk.py
+++ b/rackpost/coordinator/disk.py
@@ -20,7 +20,7 @@
 _NEW_ID_BYTES = 6
 
 
-class PatientDisk(storage.Disk):
+class RetryingDisk(storage.Disk):
     """Tries again until what must be durable is.
 
     Meanwhile the replica sends nothing, so that a leader with a faulty
@@ -79,7 +79,7 @@
 
 def open_disk(
     folder: pathlib.Path, *, host: str, first_hosts: tuple[str, ...]
-) -> tuple[storage.FileDisk, storage.Loaded]:
+) -> tuple[storage.FileDisk, storage.StoredState]:
     """The disk of this host's replica; a new replica if it has none.
 
     `first_hosts` are the voters of a site that starts for the first time;
--- a/rackpost/decide/capacity.py
+++ b/rackpost/decide/capacity.py
@@ -1,45 +1,50 @@
-"""What a pool of endpoints can do, and what a request costs of it.
-
-Pure.
-"""
+"""Capacity of a pool of endpoints, and a request's share of it."""
 
 from typing import NamedTuple
 from typing import Sequence
 
-from rackpost.decide import views
+from rackpost.decide import endpoint_view
 from rackpost import types
 
-_LEAST_COST_S = 1e-6
+# Keeps value densities finite.
+_MIN_COST_S = 1e-6
+
 
+class PoolCapacity(NamedTuple):
+    """Number of endpoints in a pool, and their total rates a second.
 
-class Capacity(NamedTuple):
-    """A pool: its endpoints, and what they do together in a second."""
+    `prefill_base_s` is the mean fixed cost of one prefill.
+    """
 
-    prefills: int
-    decodes: int
+    prefill_endpoints: int
+    decode_endpoints: int
     prefill_tokens_s: float
     prefill_base_s: float
     slot_tokens_s: float
 
     def prefill_s(self, tokens: int) -> float:
-        """Seconds of one endpoint that a prefill of `tokens` takes."""
-        if not self.prefills:
+        """Return the seconds that a prefill takes at a mean endpoint."""
+        if not self.prefill_endpoints:
             return 0.0
-        each = self.prefill_tokens_s / self.prefills
-        return self.prefill_base_s + tokens / each
+        per_endpoint = self.prefill_tokens_s / self.prefill_endpoints
+        return self.prefill_base_s + tokens / per_endpoint
 
     def cost(self, prefill_s: float, max_tokens: int) -> float:
-        """Seconds of the whole pool that a request takes.
+        """Return the seconds of the whole pool that a request takes.
 
-        Of its two halves the one that takes the larger share counts.
+        This is the larger of its prefill and its decode cost.
         """
-        pre = prefill_s / self.prefills if self.prefills else 0.0
-        dec = max_tokens / self.slot_tokens_s if self.decodes else 0.0
-        return max(pre, dec, _LEAST_COST_S)
+        pre = (
+            prefill_s / self.prefill_endpoints
+            if self.prefill_endpoints
+            else 0.0
+        )
+        dec = max_tokens / self.slot_tokens_s if self.decode_endpoints else 0.0
+        return max(pre, dec, _MIN_COST_S)
 
 
-def of(pool: Sequence[views.EndpointView]) -> Capacity:
-    """The capacity of all endpoints of a service that are not leaving."""
+def of_pool(pool: Sequence[endpoint_view.EndpointView]) -> PoolCapacity:
+    """Return the capacity of the endpoints that are not leaving."""
     prefills = decodes = 0
     tokens_s = base_s = slot_tokens_s = 0.0
     for view in pool:
@@ -53,9 +58,9 @@
         elif load.role is types.Role.DECODE:
             decodes += 1
             slot_tokens_s += load.slots / load.step_s
-    return Capacity(
-        prefills=prefills,
-        decodes=decodes,
+    return PoolCapacity(
+        prefill_endpoints=prefills,
+        decode_endpoints=decodes,
         prefill_tokens_s=tokens_s,
         prefill_base_s=base_s / max(1, prefills),
         slot_tokens_s=slot_tokens_s,
--- a/rackpost/gateway/room.py
+++ b/rackpost/gateway/admission_queue.py
@@ -9,10 +9,10 @@
 from rackpost.decide import endpoint_choice
 from rackpost.decide import endpoint_load
 from rackpost.decide import fleet_size
-from rackpost.decide import opening
-from rackpost.decide import pace as pace_mod
-from rackpost.decide import waiting
-from rackpost.gateway import place as place_mod
+from rackpost.decide import plain_queue
+from rackpost.decide import queue_order
+from rackpost.decide import token_timing as token_timing_mod
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.routing import endpoints
 from rackpost import types
 
@@ -44,9 +44,9 @@
 _TRY_S = 1.0
 
 
-def _usable(wanted: place_mod.Wanted) -> int:
+def _usable(wanted: reservation_mod.ReservationRequest) -> int:
     """The part of an endpoint's memory that is given away, in tokens."""
-    return int(wanted.capacity * _FILL)
+    return int(wanted.memory_tokens * _FILL)
 
 
 def _nothing() -> None:
@@ -57,37 +57,37 @@
     """Who reads a prompt: a prefill endpoint, or the one that decodes."""
 
     reader: endpoints.Endpoint | None
-    in_place: endpoint_choice.InPlace | None
+    in_place: endpoint_choice.InPlacePrefill | None
 
 
 class _Waiter:
     """A generation that waits."""
 
-    def __init__(self, *, wanted: place_mod.Wanted) -> None:
+    def __init__(self, *, wanted: reservation_mod.ReservationRequest) -> None:
         self.wanted = wanted
-        self.found: asyncio.Future[place_mod.Place | place_mod.Full] = (
-            asyncio.get_running_loop().create_future()
-        )
+        self.found: asyncio.Future[
+            reservation_mod.DecodeReservation | reservation_mod.NoCapacity
+        ] = asyncio.get_running_loop().create_future()
 
 
-class Room:
+class AdmissionQueue:
     """Gives places away: who can still be in time goes first."""
 
     def __init__(
         self,
         *,
         chooser: endpoint_choice.Chooser,
-        loads: endpoint_load.LoadBook,
-        pace: pace_mod.Pace,
+        loads: endpoint_load.LoadTable,
+        pace: token_timing_mod.TokenTiming,
         rng: random.Random,
         vm: types.VmId,
-        changed: asyncio.Event,
-        waiters_changed: Callable[[], None],
+        capacity_changed: asyncio.Event,
+        on_waiters_changed: Callable[[], None],
         split: bool = True,
     ) -> None:
-        """`changed` is set when there may be more room.
+        """`capacity_changed` is set when there may be more room.
 
-        `waiters_changed` is called when others should know who waits.
+        `on_waiters_changed` is called when others should know who waits.
         Without `split` all prompts are read in place.
         """
         self._loop = asyncio.get_running_loop()
@@ -96,26 +96,28 @@
         self._pace = pace
         self._rng = rng
         self._vm = vm
-        self._waiters_changed = waiters_changed
+        self._waiters_changed = on_waiters_changed
         self._split = split
-        self._changed = changed
+        self._changed = capacity_changed
         self._waiters: list[_Waiter] = []
         # When a place was last given, by the loop's clock.
         self._begun_at = self._loop.time()
 
-    def first(self, now: float) -> tuple[waiting.Left, ...]:
+    def most_urgent_waiters(
+        self, now: float
+    ) -> tuple[queue_order.WaitingSummary, ...]:
         """Those that wait here and go first."""
         found = [
-            waiting.left(waiter.wanted.claim, now)
+            queue_order.summarize(waiter.wanted.claim, now)
             for waiter in self._waiters
             if not waiter.found.done()
         ]
         found.sort(key=lambda item: item.rank(0.0))
         return tuple(found[:_MOST_TOLD])
 
-    async def wait(
-        self, wanted: place_mod.Wanted
-    ) -> place_mod.Place | place_mod.Full:
+    async def reserve(
+        self, wanted: reservation_mod.ReservationRequest
+    ) -> reservation_mod.DecodeReservation | reservation_mod.NoCapacity:
         """A place, which the caller must release, or word to come back."""
         now = self._loop.time()
         waiter = _Waiter(wanted=wanted)
@@ -137,59 +139,68 @@
                 self._waiters.remove(waiter)
                 self._waiters_changed()
 
-    def again(
-        self, wanted: place_mod.Wanted, endpoint: endpoints.Endpoint
-    ) -> place_mod.Place | None:
+    def reserve_at(
+        self,
+        wanted: reservation_mod.ReservationRequest,
+        endpoint: endpoints.Endpoint,
+    ) -> reservation_mod.DecodeReservation | None:
         """The place that a request had just now, if it is still there.
 
         Nobody takes it in between, and where the endpoint has kept the KV
         cache there is nothing to read, so that no turn is needed.
         """
         now = self._loop.time()
-        if not self._chooser.candidates.still_takes(endpoint, now):
+        if not self._chooser.candidates.may_resend(endpoint, now):
             return None
-        return place_mod.Place(
+        return reservation_mod.DecodeReservation(
             endpoint=endpoint,
-            reader=None,
-            free=self._loads.hold(endpoint.id, run=wanted.run),
+            prefill_endpoint=None,
+            free=self._loads.add_request(endpoint.id, run=wanted.run),
             end_turn=_nothing,
             changed=self._changed.set,
-            since=now,
+            reserved_at=now,
         )
 
     def _refuse_if_hopeless(self, waiter: _Waiter, now: float) -> None:
         claim = waiter.wanted.claim
         wait_s = self._expected_wait_s(waiter.wanted, now)
-        hopeless = waiting.is_known_hopeless(claim, wait_s, now)
+        hopeless = queue_order.will_be_infeasible(claim, wait_s, now)
         if hopeless or len(self._waiters) > _MOST:
             self._settle(waiter, self._full(waiter.wanted, now))
 
-    def _opens_s(self, wanted: place_mod.Wanted, now: float) -> float:
+    def _opens_s(
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> float:
         """How long all decode endpoints still want nothing, in seconds."""
-        opens_s = self._chooser.candidates.opens_s(
-            wanted.service, types.Role.DECODE, but=wanted.but, now=now
+        opens_s = self._chooser.candidates.available_in_s(
+            wanted.service, types.Role.DECODE, exclude=wanted.exclude, now=now
         )
         return opens_s or 0.0
 
-    def _expected_wait_s(self, wanted: place_mod.Wanted, now: float) -> float:
+    def _expected_wait_s(
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> float:
         """How long until it is its turn, in seconds."""
-        mine = waiting.order(wanted.claim, now)
+        mine = queue_order.rank_of(wanted.claim, now)
         ahead = sum(
-            waiting.order(item.wanted.claim, now) <= mine
+            queue_order.rank_of(item.wanted.claim, now) <= mine
             for item in self._waiters
             if item.wanted is not wanted
         )
         opening_s = self._opening_s(wanted, ahead, now)
         if (
             opening_s > 0.0
-            and self._chooser.free_slots(wanted.service, now) > ahead
+            and self._chooser.free_decode_slots(wanted.service, now) > ahead
         ):
             # Nothing has to end first.
             return opening_s
         return opening_s + self._queue_s(wanted, ahead, now)
 
     def _opening_s(
-        self, wanted: place_mod.Wanted, ahead: int, now: float
+        self,
+        wanted: reservation_mod.ReservationRequest,
+        ahead: int,
+        now: float,
     ) -> float:
         """How long back-offs and rates hold it up, in seconds.
 
@@ -198,46 +209,55 @@
         opens_s = self._opens_s(wanted, now)
         found = self._chooser.candidates
         role = types.Role.DECODE
-        per_s = found.own_per_s(wanted.service, role, but=wanted.but, now=now)
+        per_s = found.own_rate_per_s(
+            wanted.service, role, exclude=wanted.exclude, now=now
+        )
         if opens_s <= 0.0 and per_s is None:
             return 0.0
-        return opening.wait_s(
+        return plain_queue.expected_wait_s(
             ahead=ahead,
             count=len(found.members(wanted.service, role)),
             answer_s=wanted.claim.start_s,
-            opens_s=opens_s,
-            per_s=per_s,
+            available_in_s=opens_s,
+            rate_per_s=per_s,
         )
 
     def _queue_s(
-        self, wanted: place_mod.Wanted, ahead: int, now: float
+        self,
+        wanted: reservation_mod.ReservationRequest,
+        ahead: int,
+        now: float,
     ) -> float:
         """How long those that go before it will take, in seconds."""
-        left = waiting.left(wanted.claim, now)
-        return waiting.expected_wait_s(
-            ahead=ahead + self._loads.ahead(left, self._vm, now),
-            running=self._chooser.running(wanted.service, now),
+        left = queue_order.summarize(wanted.claim, now)
+        return queue_order.expected_wait_s(
+            ahead=ahead + self._loads.waiting_ahead(left, self._vm, now),
+            running=self._chooser.running_generations(wanted.service, now),
             run_s=self._pace.run_s,
         )
 
-    def _full(self, wanted: place_mod.Wanted, now: float) -> place_mod.Full:
+    def _full(
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> reservation_mod.NoCapacity:
         wait_s = self._expected_wait_s(wanted, now)
         chance = self._rng.random()
-        after = waiting.come_back_s(wanted.claim, wait_s, now, chance)
+        after = queue_order.retry_after_s(wanted.claim, wait_s, now, chance)
         # Nobody is told to come back before anything may be sent.
         after = max(after, self._opens_s(wanted, now))
-        return place_mod.Full(come_back_s=after, expected_wait_s=wait_s)
+        return reservation_mod.NoCapacity(
+            retry_after_s=after, expected_wait_s=wait_s
+        )
 
     def _give_back(self, waiter: _Waiter) -> None:
         if waiter.found.done() and not waiter.found.cancelled():
             place = waiter.found.result()
-            if isinstance(place, place_mod.Place):
+            if isinstance(place, reservation_mod.DecodeReservation):
                 place.release()
 
     def _give(self) -> None:
         now = self._loop.time()
         self._waiters.sort(
-            key=lambda item: waiting.order(item.wanted.claim, now)
+            key=lambda item: queue_order.rank_of(item.wanted.claim, now)
         )
         self._drop_hopeless(now)
         unplaced = 0
@@ -264,15 +284,15 @@
             opens = now + self._opening_s(wanted, ahead, now)
             if waiter.found.done():
                 continue
-            if waiting.is_hopeless(wanted.claim, opens):
+            if queue_order.is_infeasible(wanted.claim, opens):
                 place = self._try(wanted, now)
                 self._settle(waiter, place or self._full(wanted, now))
             else:
                 ahead += 1
 
     def _try(
-        self, wanted: place_mod.Wanted, now: float
-    ) -> place_mod.Place | None:
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> reservation_mod.DecodeReservation | None:
         """A place for one that looks hopeless, now and then.
 
         Only for one that would be in time if the figures were wrong, and
@@ -281,24 +301,26 @@
         claim = wanted.claim
         if now < self._begun_at + _TRY_S or now >= claim.target:
             return None
-        if claim.stops:
+        if claim.gateway_stopping:
             return None
         way = self._way(wanted, now)
         return way and self._place(wanted, way, now)
 
     def _is_next(
-        self, wanted: place_mod.Wanted, way: _Way, now: float
+        self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
     ) -> bool:
         """Whether no more go before it elsewhere than there are places."""
-        left = waiting.left(wanted.claim, now)
-        ahead = self._loads.ahead(left, self._vm, now)
+        left = queue_order.summarize(wanted.claim, now)
+        ahead = self._loads.waiting_ahead(left, self._vm, now)
         # Two prompts read at one time at one endpoint make all that run
         # there late, so that even few gateways take turns.
         if ahead == 0 or (
-            way.in_place is None and self._loads.gateways <= fleet_size.RACING
+            way.in_place is None
+            and self._loads.gateway_count
+            <= fleet_size.MAX_GATEWAYS_WITHOUT_RACES
         ):
             return True
-        places = self._chooser.places(
+        places = self._chooser.decode_capacity(
             wanted.service,
             wanted.run,
             _usable(wanted),
@@ -309,23 +331,29 @@
             places = min(places, self._prefill_places(wanted, now))
         return ahead < places
 
-    def _prefill_places(self, wanted: place_mod.Wanted, now: float) -> int:
-        return self._chooser.prefill_places(
-            wanted.service, self._pace.tokens_in(_QUEUE_S), now
+    def _prefill_places(
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> int:
+        return self._chooser.prefill_capacity(
+            wanted.service, self._pace.prefill_tokens_in(_QUEUE_S), now
         )
 
     def _in_place(
-        self, wanted: place_mod.Wanted, now: float
-    ) -> endpoint_choice.InPlace | None:
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> endpoint_choice.InPlacePrefill | None:
         """How the decode endpoint reads the prompt, if it is to."""
         read_apart = self._split and not wanted.in_place
-        if read_apart and not self._chooser.reads_in_place(
+        if read_apart and not self._chooser.must_prefill_in_place(
             wanted.service, now
         ):
             return None
-        return endpoint_choice.InPlace(rest_s=wanted.event_s)
+        return endpoint_choice.InPlacePrefill(
+            min_interval_s=wanted.event_interval_s
+        )
 
-    def _way(self, wanted: place_mod.Wanted, now: float) -> _Way | None:
+    def _way(
+        self, wanted: reservation_mod.ReservationRequest, now: float
+    ) -> _Way | None:
         """How its prompt would be read now; None if it can't be."""
         in_place = self._in_place(wanted, now)
         if in_place is not None:
@@ -334,43 +362,45 @@
         return None if reader is None else _Way(reader, None)
 
     def _place(
-        self, wanted: place_mod.Wanted, way: _Way, now: float
-    ) -> place_mod.Place | None:
-        endpoint = self._chooser.decode(
+        self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
+    ) -> reservation_mod.DecodeReservation | None:
+        endpoint = self._chooser.choose_decode(
             wanted.service,
             wanted.run,
             _usable(wanted),
             in_place=way.in_place,
-            but=wanted.but,
+            exclude=wanted.exclude,
             now=now,
         )
         if endpoint is None:
             return None
         self._begun_at = now
-        free = self._loads.hold(endpoint.id, run=wanted.run)
-        self._chooser.candidates.chose(endpoint, now)
+        free = self._loads.add_request(endpoint.id, run=wanted.run)
+        self._chooser.candidates.record_selection(endpoint, now)
         if way.reader is None:
-            end_turn = self._turn_to_read(endpoint, wanted.run.size)
+            end_turn = self._turn_to_read(endpoint, wanted.run.held_tokens)
         else:
-            self._chooser.candidates.chose(way.reader, now)
-            end_turn = self._loads.hold(way.reader.id, prompt=wanted.run.size)
-        return place_mod.Place(
+            self._chooser.candidates.record_selection(way.reader, now)
+            end_turn = self._loads.add_request(
+                way.reader.id, prompt=wanted.run.held_tokens
+            )
+        return reservation_mod.DecodeReservation(
             endpoint=endpoint,
-            reader=way.reader,
+            prefill_endpoint=way.reader,
             free=free,
             end_turn=end_turn,
             changed=self._changed.set,
-            since=now,
+            reserved_at=now,
         )
 
     def _reader(
-        self, wanted: place_mod.Wanted, now: float
+        self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> endpoints.Endpoint | None:
         """A prefill endpoint that reads the prompt without much delay."""
-        return self._chooser.prefill(
+        return self._chooser.choose_prefill(
             wanted.service,
-            wanted.run.size,
-            most_ahead=self._pace.tokens_in(_QUEUE_S),
+            wanted.run.held_tokens,
+            max_ahead_tokens=self._pace.prefill_tokens_in(_QUEUE_S),
             now=now,
         )
 
@@ -378,16 +408,18 @@
         self, endpoint: endpoints.Endpoint, prompt: int
     ) -> Callable[[], None]:
         """Take the turn to read a prompt; what is returned ends it."""
-        release = self._loads.hold(endpoint.id, prompt=prompt)
+        release = self._loads.add_request(endpoint.id, prompt=prompt)
 
         def end_turn() -> None:
             release()
-            self._loads.note_read(endpoint.id, self._loop.time())
+            self._loads.record_prefilled(endpoint.id, self._loop.time())
 
         return end_turn
 
     def _settle(
-        self, waiter: _Waiter, place: place_mod.Place | place_mod.Full
+        self,
+        waiter: _Waiter,
+        place: reservation_mod.DecodeReservation | reservation_mod.NoCapacity,
     ) -> None:
         self._waiters.remove(waiter)
         waiter.found.set_result(place)
@@ -399,6 +431,6 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_LOOK_S if self._waiters else None):
                     await self._changed.wait()
-                await asyncio.sleep(_GATHER_EACH_S * self._loads.gateways)
+                await asyncio.sleep(_GATHER_EACH_S * self._loads.gateway_count)
             self._changed.clear()
             self._give()
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from rackpost.decide import fingerprint
-from rackpost.decide import forwarding
+from rackpost.decide import retry_decision
 from rackpost.gateway import callers
 from rackpost.gateway import charge as charge_mod
 from rackpost.gateway import site as site_mod
@@ -106,7 +106,7 @@
             [
                 item
                 for item in message.end_to_end(req.headers)
-                if item[0] not in headers.OURS
+                if item[0] not in headers.GATEWAY_ONLY
             ]
         )
 
@@ -116,7 +116,7 @@
         """A connection broke on which an endpoint had it since `began`."""
         now = self.site.loop_time()
         self.broke = True
-        self.site.suspects.ended(
+        self.site.suspects.record_broken(
             self.fingerprint, endpoint, ran_s=now - began, now=now
         )
 
@@ -146,13 +146,13 @@
             body=self.req.body,
         )
 
-    def situation(self, now: float) -> forwarding.Situation:
+    def situation(self, now: float) -> retry_decision.Situation:
         """What decides on a further attempt."""
-        return forwarding.Situation(
+        return retry_decision.Situation(
             repeatable=self.route.repeatable,
             may_have_run=self.may_have_run,
             attempts_left=self.route.max_attempts - len(self.ran_at),
-            budget=self.budget.allows(now, self.site.gateway_count),
+            budget_allows=self.budget.allows(now, self.site.gateway_count),
             time_left_s=self.until - now,
         )
 
@@ -201,10 +201,12 @@
     def held_s(self) -> float:
         """How much longer it is held back, in seconds; 0 if it is not."""
         suspects = self.site.suspects
-        if not suspects.book.holds_any():
+        if not suspects.book.may_hold_any():
             # As a rule: no request is digested before it is sent.
             return 0.0
-        return suspects.left_s(self.fingerprint, self.site.loop_time())
+        return suspects.quarantine_left_s(
+            self.fingerprint, self.site.loop_time()
+        )
 
     def _end_if_held(self) -> bool:
         """End it if it is held back, as endpoints ended under it.
@@ -217,7 +219,9 @@
         self.log(
             "Held back.",
             fingerprint=self.fingerprint.hex(),
-            endpoints=self.site.suspects.book.ended(self.fingerprint),
+            endpoints=self.site.suspects.book.ended_endpoints(
+                self.fingerprint
+            ),
             left_s=round(left_s),
         )
         if self.may_have_run:
@@ -276,7 +280,7 @@
         that run it; an answer without a length ends as its endpoint does.
         """
         if not self.broke and head.framing is not message.Framing.CLOSE:
-            self.site.suspects.served(self.fingerprint, now)
+            self.site.suspects.record_served(self.fingerprint, now)
 
     def _is_late(self, took_s: float) -> bool:
         """Whether an answer, or an event of it, came after its target."""
@@ -300,7 +304,7 @@
 
 def ask_for_key(responder: server.Responder) -> None:
     """Answer that a request shows no key that is anybody's."""
-    responder.whole(401, [headers.ASK_FOR_KEY], b"")
+    responder.whole(401, [headers.AUTH_CHALLENGE], b"")
 
 
 def refuse(
--- a/rackpost/gateway/suspects.py
+++ b/rackpost/gateway/crash_tracker.py
@@ -50,18 +50,18 @@
     heard_at: float | None = None
 
 
-class Suspects:
+class CrashTracker:
     """The book of one gateway, and what it adds to it."""
 
     def __init__(self, *, table: endpoints.EndpointTable) -> None:
         self.book = quarantine.Quarantine()
         # Tells the coordinators; set by who is linked to them.
-        self.tell: Tell = _nobody
+        self.publish: Tell = _nobody
         self._table = table
         self._watched: list[_Watched] = []
         self._served: dict[types.Fingerprint, float] = {}
 
-    def ended(
+    def record_broken(
         self,
         request: types.Fingerprint,
         endpoint: endpoints.Endpoint,
@@ -87,28 +87,32 @@
         del self._watched[:-_MOST_WATCHED]
         self._add((found,), now)
 
-    def served(self, request: types.Fingerprint, now: float) -> None:
+    def record_served(self, request: types.Fingerprint, now: float) -> None:
         """A request was answered in full, so that it ends no endpoint."""
         self._served.pop(request, None)
         self._served[request] = now
         while len(self._served) > _MOST_SERVED:
             del self._served[next(iter(self._served))]
-        self._clear(self.book.cleared(request), _IN_FULL, now)
+        self._clear(self.book.clearances(request), _IN_FULL, now)
 
-    def take(self, items: Iterable[quarantine.Suspicion], now: float) -> None:
+    def receive(
+        self, items: Iterable[quarantine.Suspicion], now: float
+    ) -> None:
         """A coordinator tells what counts against some requests."""
-        for request in self.book.take(items, now):
+        for request in self.book.add(items, now):
             served_at = self._served.get(request)
             if served_at is not None and now - served_at < _SERVED_S:
-                self._clear(self.book.cleared(request), _IN_FULL, now)
-            elif self.book.is_held(request, now):
+                self._clear(self.book.clearances(request), _IN_FULL, now)
+            elif self.book.is_quarantined(request, now):
                 self._log_held(request, now)
 
-    def left_s(self, request: types.Fingerprint, now: float) -> float:
+    def quarantine_left_s(
+        self, request: types.Fingerprint, now: float
+    ) -> float:
         """How much longer a request is held back, in seconds; 0 if not."""
-        return self.book.left_s(request, now)
+        return self.book.remaining_s(request, now)
 
-    def look(self, now: float) -> None:
+    def recheck(self, now: float) -> None:
         """Clear what endpoints have shown that are alive; about each second.
 
         Their heartbeats go on, in the same life, after their connection
@@ -124,7 +128,9 @@
     def _looked_at(self, item: _Watched, now: float) -> _Watched | None:
         if not self._table.is_current(item.endpoint):
             return None
-        heard_at = self._table.heard_at.get(item.endpoint.id, item.broke_at)
+        heard_at = self._table.last_heartbeat_at.get(
+            item.endpoint.id, item.broke_at
+        )
         if heard_at < item.broke_at + _SURELY_LATER_S:
             return item if now - item.broke_at < _WATCHED_S else None
         if item.heard_at is None:
@@ -156,18 +162,18 @@
     def _add(
         self, items: tuple[quarantine.Suspicion, ...], now: float
     ) -> None:
-        for request in self.book.take(items, now):
-            if self.book.is_held(request, now):
+        for request in self.book.add(items, now):
+            if self.book.is_quarantined(request, now):
                 self._log_held(request, now)
-        self.tell(items)
+        self.publish(items)
 
     def _log_held(self, request: types.Fingerprint, now: float) -> None:
         logs.say(
             logs.Part.GATEWAY,
             "Request is held back.",
             fingerprint=request.hex(),
-            endpoints=self.book.ended(request),
-            left_s=round(self.book.left_s(request, now)),
+            endpoints=self.book.ended_endpoints(request),
+            left_s=round(self.book.remaining_s(request, now)),
         )
 
 
--- a/rackpost/gateway/document_fetch.py
+++ b/rackpost/gateway/document_fetch.py
@@ -28,12 +28,12 @@
 _REST_S = 1.0
 
 
-class Ask(NamedTuple, Generic[H]):
-    """What to send to whom; `again` if the last one asked was silent."""
+class FetchRequest(NamedTuple, Generic[H]):
+    """What to send to whom; `is_retry` if the last one asked was silent."""
 
-    holder: H
-    msg: messages.Fetch
-    again: bool
+    peer: H
+    msg: messages.FetchRouting
+    is_retry: bool
 
 
 class _Asked(NamedTuple, Generic[H]):
@@ -47,14 +47,14 @@
 class _Partial:
     """What has come of a transfer."""
 
-    def __init__(self, *, part: messages.RoutingPart, began: float) -> None:
+    def __init__(self, *, part: messages.RoutingChunk, began: float) -> None:
         self.digest = part.digest
         self.size = part.size
         self.began = began
         self.data = bytearray()
 
 
-class Arrived(NamedTuple):
+class Transfer(NamedTuple):
     """A transfer that is whole, and how long it took in seconds."""
 
     data: bytes
@@ -87,17 +87,17 @@
             return self._asked.until
         return self._rest_until
 
-    def told(self, holder: H, version: int) -> None:
+    def record_version(self, holder: H, version: int) -> None:
         """A holder has this version."""
         self._holders[holder] = version
 
-    def lost(self, holder: H) -> None:
+    def remove_peer(self, holder: H) -> None:
         """A holder is linked no more."""
         self._holders.pop(holder, None)
         if self._asked is not None and self._asked.holder == holder:
             self._asked = None
 
-    def next_ask(self, *, have: int, now: float) -> Ask[H] | None:
+    def next_request(self, *, have: int, now: float) -> FetchRequest[H] | None:
         """What to ask now by a gateway that has the version `have`."""
         if self.newest <= have:
             self._asked = None
@@ -117,7 +117,7 @@
         holder = self._choose(silent)
         self._asked = _Asked(holder, now, now + self._patience_s)
         self._last = holder
-        return Ask(holder, self._fetch(have), silent is not None)
+        return FetchRequest(holder, self._fetch(have), silent is not None)
 
     def _choose(self, silent: H | None) -> H:
         """Who is asked: the last one again, unless it was silent.
@@ -133,19 +133,19 @@
         others = [key for key in found if key != silent]
         return self._rng.choice(others or found)
 
-    def _fetch(self, have: int) -> messages.Fetch:
+    def _fetch(self, have: int) -> messages.FetchRouting:
         base = 0 if have == self._spoilt else have
         if self._partial is None:
-            return messages.Fetch(have=base)
-        return messages.Fetch(
-            have=base,
+            return messages.FetchRouting(held_version=base)
+        return messages.FetchRouting(
+            held_version=base,
             digest=self._partial.digest,
             offset=len(self._partial.data),
         )
 
-    def take(
-        self, holder: H, part: messages.RoutingPart, now: float
-    ) -> Arrived | None:
+    def receive(
+        self, holder: H, part: messages.RoutingChunk, now: float
+    ) -> Transfer | None:
         """Take a part; the whole once all of it is there.
 
         A part that is not the next one came twice, and is dropped.
@@ -162,14 +162,14 @@
         if len(partial.data) < partial.size:
             return None
         self._partial = None
-        return Arrived(bytes(partial.data), now - partial.began)
+        return Transfer(bytes(partial.data), now - partial.began)
 
-    def failed(self, *, have: int, now: float) -> None:
+    def reject_document(self, *, have: int, now: float) -> None:
         """What came was of no use to a gateway that has `have`."""
         self._spoilt = have
         self._rest_until = now + _REST_S
 
-    def _is_next(self, holder: H, part: messages.RoutingPart) -> bool:
+    def _is_next(self, holder: H, part: messages.RoutingChunk) -> bool:
         partial = self._partial
         if partial is not None and part.digest == partial.digest:
             return part.offset == len(partial.data)
--- a/rackpost/gateway/generate.py
+++ b/rackpost/gateway/generate.py
@@ -7,15 +7,15 @@
 import contextlib
 from typing import Callable
 
-from rackpost.decide import forwarding
 from rackpost.decide import kv_forecast
-from rackpost.decide import waiting
+from rackpost.decide import queue_order
+from rackpost.decide import retry_decision
 from rackpost import exceptions
 from rackpost.gateway import attempt
 from rackpost.gateway import call as call_mod
 from rackpost.gateway import forward
-from rackpost.gateway import place as place_mod
 from rackpost.gateway import prefill
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.platform import headers
 from rackpost.routing import endpoints
 from rackpost.routing import model
@@ -39,17 +39,19 @@
     def __init__(self, *, call: call_mod.Call, engine: model.Engine) -> None:
         self._call = call
         self._engine = engine
-        sizes = headers.tokens(call.req.headers)
+        sizes = headers.request_sizes(call.req.headers)
         self._prompt = sizes.prompt if sizes else 0
-        self._most = sizes.most_out if sizes else 0
-        self._guess = min(sizes.guess_out, sizes.most_out) if sizes else 0
-        part = headers.own_part(call.req.headers)
+        self._most = sizes.max_output if sizes else 0
+        self._guess = (
+            min(sizes.expected_output, sizes.max_output) if sizes else 0
+        )
+        part = headers.own_prompt_part(call.req.headers)
         site = call.site
         book = site.refused
         self._key = book.key(call.route.name, part, call.req.body)
         # Its time counts from its client's first try, so that one that was
         # refused before is late.
-        self._came_back = book.came_back(self._key, call.began)
+        self._came_back = book.was_refused(self._key, call.began)
         self._read = prefill.Prefilled(call=call)
         # No prefill endpoint has read it: wait for a turn at a decode one.
         self._in_place = False
@@ -62,7 +64,7 @@
         return kv_forecast.Progress(
             prompt=self._prompt,
             guess=self._call.site.lengths.expected(self._guess, self._most),
-            most=self._most,
+            max_tokens=self._most,
             event_tokens=self._engine.event_tokens,
             spread=self._call.site.lengths.spread,
         )
@@ -73,10 +75,10 @@
         self._note_demand()
         while True:
             self._progress = self._new_progress()
-            place = self._kept_place() or await call.site.room.wait(
+            place = self._kept_place() or await call.site.room.reserve(
                 self._wanted()
             )
-            if isinstance(place, place_mod.Full):
+            if isinstance(place, reservation_mod.NoCapacity):
                 self._refuse_full(place)
                 return
             if call.end_if_barred():
@@ -90,10 +92,10 @@
             if ended is None or not forward.goes_on(call, ended):
                 self._read.release()
                 return
-            if ended is forwarding.Ended.BROKEN:
+            if ended is retry_decision.AttemptEnd.BROKEN:
                 self._broke_at = place.endpoint
 
-    def _kept_place(self) -> place_mod.Place | None:
+    def _kept_place(self) -> reservation_mod.DecodeReservation | None:
         """The place of a run whose connection broke, if it may be kept.
 
         An endpoint that is well still has the KV cache: going on there
@@ -103,38 +105,47 @@
         if endpoint is None or self._kept_tries >= _KEPT_TRIES:
             return None
         self._kept_tries += 1
-        place = self._call.site.room.again(self._wanted(), endpoint)
+        place = self._call.site.room.reserve_at(self._wanted(), endpoint)
         if place is not None:
             self._call.log("Goes on where it broke.", endpoint=endpoint.id)
         return place
 
-    def _on_event(self, place: place_mod.Place) -> Callable[[], None]:
+    def _on_event(
+        self, place: reservation_mod.DecodeReservation
+    ) -> Callable[[], None]:
         progress = self._progress
         site = self._call.site
         began = 0.0
 
         def on_event() -> None:
             nonlocal began
-            if progress.made == 0:
+            if progress.generated_tokens == 0:
                 began = site.loop_time()
                 self._note_start(place)
-            place.was_read()
-            if progress.made == _EVENTS_SEEN * self._engine.event_tokens:
-                site.pace.making(progress.made, site.loop_time() - began)
-            progress.event()
+            place.record_prefilled()
+            if (
+                progress.generated_tokens
+                == _EVENTS_SEEN * self._engine.event_tokens
+            ):
+                site.pace.record_partial_decode(
+                    progress.generated_tokens, site.loop_time() - began
+                )
+            progress.record_event()
 
         return on_event
 
-    def _note_start(self, place: place_mod.Place) -> None:
+    def _note_start(self, place: reservation_mod.DecodeReservation) -> None:
         """The first event has come; learn from how long it took."""
-        if place.reader is not None:
+        if place.prefill_endpoint is not None:
             site = self._call.site
-            site.pace.started(self._prompt, site.loop_time() - place.since)
+            site.pace.record_start(
+                self._prompt, site.loop_time() - place.reserved_at
+            )
 
     def _note_demand(self) -> None:
         """Count what this request asks of each role of endpoint."""
         site = self._call.site
-        out = self._progress.run.left
+        out = self._progress.run.remaining_tokens
         # Room is kept for more than the mean of what a run holds.
         held = self._prompt + _KEPT_SHARE * out
         share = max(
@@ -145,32 +156,34 @@
             self._call.began, prompt=self._prompt, out=out, share=share
         )
 
-    def _wanted(self) -> place_mod.Wanted:
+    def _wanted(self) -> reservation_mod.ReservationRequest:
         call = self._call
-        return place_mod.Wanted(
+        return reservation_mod.ReservationRequest(
             service=call.service.name,
-            capacity=self._engine.memory_tokens,
+            memory_tokens=self._engine.memory_tokens,
             run=self._progress.run,
-            but=call.not_again,
-            event_s=call.site.pace.making_s(self._engine.event_tokens),
+            exclude=call.not_again,
+            event_interval_s=call.site.pace.decode_s(
+                self._engine.event_tokens
+            ),
             in_place=self._in_place,
             claim=self._claim(),
         )
 
-    def _claim(self) -> waiting.Claim:
+    def _claim(self) -> queue_order.WaitingRequest:
         call = self._call
         pace = call.site.pace
         start_s = pace.start_s(self._prompt)
-        return waiting.Claim(
+        return queue_order.WaitingRequest(
             priority=call.priority,
             target=self._target(),
             start_by=self._start_by(),
             # One that a planned stop would cut off is not begun.
-            until=min(call.until, call.site.planned_stop.ends_at),
-            stops=call.site.planned_stop.is_under_way,
-            came_back=self._came_back,
+            deadline=min(call.until, call.site.planned_stop.ends_at),
+            gateway_stopping=call.site.planned_stop.is_under_way,
+            refused_before=self._came_back,
             start_s=start_s,
-            run_s=start_s + pace.making_s(self._progress.run.left),
+            run_s=start_s + pace.decode_s(self._progress.run.remaining_tokens),
         )
 
     def _target(self) -> float:
@@ -190,7 +203,9 @@
         leaves = began + call.route.silence_s
         return min(call.until, leaves - _BEFORE_LEAVING_S)
 
-    async def _run_at(self, place: place_mod.Place) -> forwarding.Ended | None:
+    async def _run_at(
+        self, place: reservation_mod.DecodeReservation
+    ) -> retry_decision.AttemptEnd | None:
         call = self._call
         decode = place.endpoint
         try:
@@ -201,7 +216,7 @@
                 grant = await enter(attempt.granted(call, decode))
                 if not await self._can_run(place):
                     self._in_place = True
-                    return forwarding.Ended.NOT_SENT
+                    return retry_decision.AttemptEnd.NOT_SENT
                 self._in_place = False
                 began = call.site.loop_time()
                 ended = await attempt.run_on(
@@ -211,38 +226,40 @@
             return attempt.not_connected(call, decode, exc)
         if ended is None:
             self._note_made(call.site.loop_time() - began)
-        elif ended is not forwarding.Ended.NOT_SENT:
+        elif ended is not retry_decision.AttemptEnd.NOT_SENT:
             self._read.release()
         return ended
 
     def _note_made(self, took_s: float) -> None:
         """The whole answer was made; learn from it."""
         site = self._call.site
-        made = self._progress.made
+        made = self._progress.generated_tokens
         self._read.taken()
-        site.pace.made(made, took_s)
-        site.lengths.ended(guess=self._guess, made=made)
+        site.pace.record_decode(made, took_s)
+        site.lengths.record_answer(guess=self._guess, actual=made)
 
-    async def _can_run(self, place: place_mod.Place) -> bool:
+    async def _can_run(self, place: reservation_mod.DecodeReservation) -> bool:
         """Whether the prompt is read, or it is its turn to be in place."""
         if self._read.is_fresh(self._engine):
             return True
         self._read.release()
-        if place.reader is None or self._prompt == 0:
+        if place.prefill_endpoint is None or self._prompt == 0:
             return True
         await self._prefill(place)
         # The prefill endpoint's turn has ended, however it went.
-        place.was_read()
+        place.record_prefilled()
         return self._read.is_fresh(self._engine)
 
-    async def _prefill(self, place: place_mod.Place) -> None:
+    async def _prefill(self, place: reservation_mod.DecodeReservation) -> None:
         call = self._call
         now = call.site.loop_time()
         first = not self._read.arrivals and not call.sent
-        left = call.budget.left(now, call.site.gateway_count)
+        left = call.budget.remaining(now, call.site.gateway_count)
         # A second reading elsewhere is one more arrival than one in place.
         if first or left >= 2.0:
-            await prefill.prefill(call, place.reader, self._prompt, self._read)
+            await prefill.prefill(
+                call, place.prefill_endpoint, self._prompt, self._read
+            )
 
     def _would_be_cut(self) -> bool:
         """Whether a planned stop leaves too little time for the answer."""
@@ -250,7 +267,7 @@
         ends_at = self._call.site.planned_stop.ends_at
         return self._call.site.loop_time() + claim.run_s > ends_at
 
-    def _refuse_full(self, full: place_mod.Full) -> None:
+    def _refuse_full(self, full: reservation_mod.NoCapacity) -> None:
         call = self._call
         if self._would_be_cut() and not call.may_have_run:
             # Nothing is full: others take it at once, and as a new one.
@@ -260,7 +277,7 @@
             "No room.",
             expected_wait_s=round(full.expected_wait_s, 3),
             prompt=self._prompt,
-            expected_out=self._progress.run.left,
+            expected_out=self._progress.run.remaining_tokens,
             came_back=self._came_back,
             waited_s=round(call.site.loop_time() - call.began, 3),
         )
@@ -268,7 +285,7 @@
             call.fail(call_mod.Reason.NO_ROOM, 502)
             return
         call.site.refused.add(self._key, call.site.loop_time())
-        call.refuse(call_mod.Reason.NO_ROOM, full.come_back_s)
+        call.refuse(call_mod.Reason.NO_ROOM, full.retry_after_s)
 
 
 async def generate(call: call_mod.Call, engine: model.Engine) -> None:
--- a/rackpost/gateway/load_share.py
+++ b/rackpost/gateway/load_exchange.py
@@ -33,12 +33,12 @@
 _DECODER = codec.Decoder(kinds=messages.BetweenGateways)
 
 
-def gather_s(gateways: int) -> float:
+def batching_delay_s(gateways: int) -> float:
     """How long changes are gathered before they are told, in seconds."""
     return _GATHER_S + _GATHER_EACH_S * gateways
 
 
-class LoadShare(asyncio.DatagramProtocol):
+class LoadExchange(asyncio.DatagramProtocol):
     """Tells own figures and takes those of others."""
 
     def __init__(self, *, site: site_mod.Site) -> None:
@@ -59,34 +59,36 @@
                 logs.Part.GATEWAY, "Load figures unreadable.", why=str(exc)
             )
             return
-        if isinstance(msg, messages.Loads):
+        if isinstance(msg, messages.GatewayLoad):
             self._take(msg, self._site.loop_time())
         else:
-            self._site.grants.take(msg, address.Address(*addr[:2]))
+            self._site.grants.receive(msg, address.Address(*addr[:2]))
 
-    def _take(self, msg: messages.Loads, now: float) -> None:
+    def _take(self, msg: messages.GatewayLoad, now: float) -> None:
         site = self._site
-        site.loads.take(
+        site.loads.receive(
             msg.vm,
-            msg.life,
-            msg.number,
-            msg.uses,
+            msg.incarnation,
+            msg.sequence,
+            msg.loads,
             now,
-            first=msg.first,
+            waiting=msg.waiting,
         )
-        site.add_gateway(messages.GatewayAddress(vm=msg.vm, loads=msg.loads))
-        site.refused.take(msg.refused, now)
-        if site.quotas.take(msg.vm, msg.life, msg.quotas, now):
+        site.add_gateway(
+            messages.GatewayAddress(vm=msg.vm, load_address=msg.load_address)
+        )
+        site.refused.receive(msg.refused_keys, now)
+        if site.quotas.receive(msg.vm, msg.incarnation, msg.quotas, now):
             # It should know soon what has been spent.
             site.loads_changed.set()
-        for endpoint in msg.full:
-            site.health.told_full(endpoint, now)
-        for endpoint in msg.broken:
-            site.health.told(endpoint, now)
+        for endpoint in msg.rejecting:
+            site.health.record_reported_full(endpoint, now)
+        for endpoint in msg.failed:
+            site.health.record_reported_failure(endpoint, now)
         for endpoint, left_s in msg.backoffs.items():
-            site.health.told_backoff(endpoint, left_s, now)
+            site.health.record_reported_backoff(endpoint, left_s, now)
         for told in msg.named_rates:
-            site.grants.told(told, now)
+            site.grants.receive_rate(told, now)
         site.room_changed.set()
 
     async def _tell(self) -> None:
@@ -95,7 +97,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_AGAIN_S):
                     await changed.wait()
-                await asyncio.sleep(gather_s(self._site.gateway_count))
+                await asyncio.sleep(batching_delay_s(self._site.gateway_count))
             changed.clear()
             self._send()
 
@@ -106,7 +108,7 @@
         data = codec.encode(self._figures(self._site.loop_time()))
         for item in self._tellable():
             if self._transport is not None:
-                self._transport.sendto(data, address.split(item.loads))
+                self._transport.sendto(data, address.split(item.load_address))
 
     def _tellable(self) -> list[messages.GatewayAddress]:
         """The other gateways that choose among the same endpoints."""
@@ -115,24 +117,24 @@
         return [
             item
             for item in self._site.gateways.values()
-            if item.vm != me and group.has(item.vm)
+            if item.vm != me and group.contains(item.vm)
         ]
 
-    def _figures(self, now: float) -> messages.Loads:
+    def _figures(self, now: float) -> messages.GatewayLoad:
         site = self._site
-        return messages.Loads(
+        return messages.GatewayLoad(
             vm=site.host.vm,
-            loads=self._address,
-            life=self._life,
-            number=self._number,
-            uses=site.loads.own,
-            broken=site.health.broken(now),
-            full=site.health.full(now),
-            first=site.room.first(now),
-            refused=site.refused.recent(now),
-            quotas=site.quotas.tell(now),
-            backoffs=site.eligible.backoffs_left(now),
-            named_rates=site.eligible.rates.tell(now),
+            load_address=self._address,
+            incarnation=self._life,
+            sequence=self._number,
+            loads=site.loads.own,
+            failed=site.health.failed_endpoints(now),
+            rejecting=site.health.full_endpoints(now),
+            waiting=site.room.most_urgent_waiters(now),
+            refused_keys=site.refused.recent(now),
+            quotas=site.quotas.next_report(now),
+            backoffs=site.eligible.remaining_backoffs(now),
+            named_rates=site.eligible.rates.next_updates(now),
         )
 
     @contextlib.asynccontextmanager
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -13,9 +13,9 @@
 from rackpost.coordinator import messages
 from rackpost.decide import eligibility
 from rackpost.decide import endpoint_load
-from rackpost.decide import groups
+from rackpost.decide import endpoint_rates
+from rackpost.decide import gateway_groups
 from rackpost.decide import rate_grants
-from rackpost.decide import rates
 from rackpost import exceptions
 from rackpost.http1 import address
 from rackpost.link import codec
@@ -41,7 +41,9 @@
 _NUMBER_BITS = 32
 
 Send = Callable[[bytes, address.Address], None]
-Message = Union[messages.AskGrant, messages.GrantAnswer, messages.GiveBack]
+Message = Union[
+    messages.GrantRequest, messages.GrantAnswer, messages.ReturnGrant
+]
 
 
 class _Asked(enum.Enum):
@@ -73,7 +75,7 @@
         return same and not self.is_spent and now < self._at + _FRESH_S
 
 
-class Grants:
+class RateGrants:
     """One gateway's grants, those it asks for and those it gives."""
 
     def __init__(
@@ -81,8 +83,8 @@
         *,
         vm: types.VmId,
         eligible: eligibility.Eligibility,
-        loads: endpoint_load.LoadBook,
-        group: groups.Group,
+        loads: endpoint_load.LoadTable,
+        group: gateway_groups.Group,
         metrics: metrics_mod.Metrics,
         rng: random.Random,
     ) -> None:
@@ -92,7 +94,7 @@
         self._loads = loads
         self._group = group
         self._metrics = metrics
-        self._book = rate_grants.GrantBook(rng=rng)
+        self._book = rate_grants.GrantLedger(rng=rng)
         self._gateways: dict[types.VmId, messages.GatewayAddress] = {}
         # Answers to those of an earlier life of this gateway are for nobody.
         self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
@@ -110,9 +112,11 @@
         self._eligible.forget_rates()
         self._book.forget(self._loop.time() - _KEEP_S)
 
-    def told(self, told: rates.Told, now: float) -> None:
+    def receive_rate(
+        self, told: endpoint_rates.RateUpdate, now: float
+    ) -> None:
         """Another gateway tells what an endpoint's answers named."""
-        if not self._eligible.rates.told(told, now):
+        if not self._eligible.rates.receive(told, now):
             return
         logs.say(
             logs.Part.GATEWAY,
@@ -123,7 +127,7 @@
             age_s=told.age_s,
         )
 
-    def needs(self, endpoint: endpoints.Endpoint) -> bool:
+    def requires_grant(self, endpoint: endpoints.Endpoint) -> bool:
         """Whether a request there needs a grant."""
         return self._eligible.rates.per_s(endpoint) is not None
 
@@ -132,14 +136,14 @@
 
         Where a rate was named since the grant was to be asked for, too.
         """
-        if not self.needs(endpoint):
+        if not self.requires_grant(endpoint):
             return
         if grant is None or not grant.is_for(endpoint, self._loop.time()):
-            raise exceptions.Barred(eligibility.Bar.RATE.value)
+            raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
         grant.is_spent = True
 
     @contextlib.asynccontextmanager
-    async def granted(
+    async def acquire(
         self, endpoint: endpoints.Endpoint, *, priority: int, waits: bool
     ) -> AsyncIterator[Grant | None]:
         """A grant to send one request, given back if it is not spent.
@@ -147,9 +151,9 @@
         None where none is needed; raises Barred where there is none.
         """
         grant = None
-        if self.needs(endpoint):
-            wish = rate_grants.Wish(
-                vm=self._vm, priority=priority, waits=waits
+        if self.requires_grant(endpoint):
+            wish = rate_grants.GrantApplicant(
+                vm=self._vm, priority=priority, is_waiting=waits
             )
             grant = await self._ask(endpoint, wish)
         try:
@@ -159,7 +163,7 @@
                 self._give_back(grant)
 
     async def _ask(
-        self, endpoint: endpoints.Endpoint, wish: rate_grants.Wish
+        self, endpoint: endpoints.Endpoint, wish: rate_grants.GrantApplicant
     ) -> Grant:
         now = self._loop.time()
         owner = self._owner(endpoint.id, now)
@@ -168,13 +172,13 @@
         else:
             verdict = await self._ask_owner(owner, endpoint, wish)
         now = self._loop.time()
-        self._eligible.gate.answered(endpoint, verdict, now)
+        self._eligible.gate.record_decision(endpoint, verdict, now)
         if verdict.granted:
             self._count(_Asked.GRANTED, endpoint)
             return Grant(endpoint=endpoint, owner=owner, at=now)
         self._count(_Asked.USED_UP, endpoint)
         self._say(endpoint, owner, "Rate is used up.", verdict.wait_s)
-        raise exceptions.Barred(eligibility.Bar.RATE.value)
+        raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
 
     def _count(self, what: _Asked, endpoint: endpoints.Endpoint) -> None:
         self._metrics.count("rate_grants", what, endpoint.service)
@@ -201,11 +205,11 @@
         self,
         owner: types.VmId,
         endpoint: endpoints.Endpoint,
-        wish: rate_grants.Wish,
-    ) -> rate_grants.Verdict:
+        wish: rate_grants.GrantApplicant,
+    ) -> rate_grants.GrantDecision:
         number = next(self._numbers)
         rate = self._rate(endpoint.incarnation)
-        msg = messages.AskGrant(number=number, wish=wish, rate=rate)
+        msg = messages.GrantRequest(number=number, applicant=wish, rate=rate)
         answer = self._loop.create_future()
         self._asked[number] = answer
         try:
@@ -213,41 +217,45 @@
             async with asyncio.timeout(_ANSWER_S):
                 found = await answer
         except TimeoutError as exc:
-            self._eligible.gate.unanswered(endpoint, self._loop.time())
+            self._eligible.gate.record_no_answer(endpoint, self._loop.time())
             self._count(_Asked.UNANSWERED, endpoint)
             self._say(endpoint, owner, "Owner of a rate does not answer.")
-            raise exceptions.Barred(eligibility.Bar.RATE.value) from exc
+            raise exceptions.Barred(
+                eligibility.IneligibleReason.RATE.value
+            ) from exc
         finally:
             del self._asked[number]
-        self.told(found.rate, self._loop.time())
-        return found.verdict
+        self.receive_rate(found.rate, self._loop.time())
+        return found.decision
 
     def _send_to(self, vm: types.VmId, msg: Message) -> None:
         known = self._gateways.get(vm)
         if known is not None:
-            self.send(codec.encode(msg), address.split(known.loads))
+            self.send(codec.encode(msg), address.split(known.load_address))
 
-    def _rate(self, key: endpoints.Incarnation) -> rates.Told:
+    def _rate(self, key: endpoints.Incarnation) -> endpoint_rates.RateUpdate:
         """What is known here of a rate."""
-        return self._eligible.rates.tell_one(key, self._loop.time())
+        return self._eligible.rates.update_for(key, self._loop.time())
 
-    def take(self, msg: Message, sender: address.Address) -> None:
+    def receive(self, msg: Message, sender: address.Address) -> None:
         """A message of another gateway."""
-        if isinstance(msg, messages.AskGrant):
+        if isinstance(msg, messages.GrantRequest):
             self._answer(msg, sender)
         elif isinstance(msg, messages.GrantAnswer):
             self._take_answer(msg)
         else:
             key = endpoints.Incarnation(msg.endpoint, msg.born)
-            self._book.give_back(key)
+            self._book.release(key)
 
-    def _answer(self, msg: messages.AskGrant, sender: address.Address) -> None:
+    def _answer(
+        self, msg: messages.GrantRequest, sender: address.Address
+    ) -> None:
         now = self._loop.time()
-        self.told(msg.rate, now)
+        self.receive_rate(msg.rate, now)
         key = msg.rate.incarnation
-        verdict = self._decide(key, msg.wish, now)
+        verdict = self._decide(key, msg.applicant, now)
         answer = messages.GrantAnswer(
-            number=msg.number, verdict=verdict, rate=self._rate(key)
+            number=msg.number, decision=verdict, rate=self._rate(key)
         )
         self.send(codec.encode(answer), sender)
 
@@ -259,18 +267,18 @@
     def _decide(
         self,
         key: endpoints.Incarnation,
-        wish: rate_grants.Wish,
+        wish: rate_grants.GrantApplicant,
         now: float,
-    ) -> rate_grants.Verdict:
+    ) -> rate_grants.GrantDecision:
         """What the owner says, if this gateway is the owner."""
         per_s = self._rate(key).per_s
         if per_s is None:
             # It has ended, and the asker is told so.
-            return rate_grants.Verdict(granted=True)
+            return rate_grants.GrantDecision(granted=True)
         if self._owner(key.id, now) != self._vm:
             # Two do not agree yet on who there is.
-            return rate_grants.Verdict(granted=False, wait_s=_ANSWER_S)
-        return self._book.ask(
+            return rate_grants.GrantDecision(granted=False, wait_s=_ANSWER_S)
+        return self._book.decide(
             key,
             wish,
             per_s=per_s,
@@ -282,10 +290,10 @@
     def _give_back(self, grant: Grant) -> None:
         key = grant.endpoint.incarnation
         if grant.owner == self._vm:
-            self._book.give_back(key)
+            self._book.release(key)
             return
         self._send_to(
-            grant.owner, messages.GiveBack(endpoint=key.id, born=key.born)
+            grant.owner, messages.ReturnGrant(endpoint=key.id, born=key.born)
         )
 
     def _owner(self, key: types.EndpointId, now: float) -> types.VmId:
@@ -302,7 +310,10 @@
             vm
             for vm in self._gateways
             if vm != self._vm
-            and (not self._group.has(vm) or self._loads.heard_from(vm, since))
+            and (
+                not self._group.contains(vm)
+                or self._loads.received_since(vm, since)
+            )
         ]
         return [self._vm, *heard]
 
--- a/rackpost/gateway/site.py
+++ b/rackpost/gateway/site.py
@@ -14,20 +14,20 @@
 from rackpost.decide import endpoint_choice
 from rackpost.decide import endpoint_health
 from rackpost.decide import endpoint_load
-from rackpost.decide import groups
-from rackpost.decide import opening
-from rackpost.decide import pace as pace_mod
+from rackpost.decide import gateway_groups
+from rackpost.decide import plain_queue
 from rackpost.decide import quota
 from rackpost.decide import quota_buckets
 from rackpost.decide import quota_use
-from rackpost.decide import refused as refused_mod
+from rackpost.decide import recent_refusals as recent_refusals_mod
 from rackpost.decide import retry_budget
 from rackpost.decide import role_balance
+from rackpost.decide import token_timing as token_timing_mod
+from rackpost.gateway import admission_queue as admission_queue_mod
+from rackpost.gateway import crash_tracker as crash_tracker_mod
 from rackpost.gateway import planned_stop
 from rackpost.gateway import policy as policy_mod
 from rackpost.gateway import rate_grants
-from rackpost.gateway import room as room_mod
-from rackpost.gateway import suspects as suspects_mod
 from rackpost.http1 import pool as pool_mod
 from rackpost import logs
 from rackpost import metrics as metrics_mod
@@ -66,19 +66,19 @@
         # Set once there are routes.
         self.routed = asyncio.Event()
         self.table = endpoints.EndpointTable()
-        self.suspects = suspects_mod.Suspects(table=self.table)
+        self.suspects = crash_tracker_mod.CrashTracker(table=self.table)
         self.loads_changed = asyncio.Event()
-        self.loads = endpoint_load.LoadBook(changed=self.loads_changed.set)
+        self.loads = endpoint_load.LoadTable(on_change=self.loads_changed.set)
         self.room_changed = asyncio.Event()
-        self.health = endpoint_health.HealthBook()
+        self.health = endpoint_health.HealthTracker()
         self.pool = pool_mod.Pool(id_header=headers.REQUEST_ID)
-        self.group = groups.Group(vm=host.vm)
+        self.group = gateway_groups.Group(vm=host.vm)
         self.eligible = eligibility.Eligibility(table=self.table, rng=self.rng)
         self.chooser = endpoint_choice.Chooser(
             candidates=candidates.Candidates(
                 table=self.table,
                 eligible=self.eligible,
-                silent_s=_SILENT_BEATS * host.heartbeat_ms / 1000.0,
+                silent_after_s=_SILENT_BEATS * host.heartbeat_ms / 1000.0,
                 group=self.group,
                 health=self.health,
             ),
@@ -87,17 +87,17 @@
             data_centre=host.data_centre,
             rng=self.rng,
         )
-        self.pace = pace_mod.Pace()
+        self.pace = token_timing_mod.TokenTiming()
         self.lengths = answer_lengths.AnswerLengths()
-        self.refused = refused_mod.RefusedBook()
-        self.room = room_mod.Room(
+        self.refused = recent_refusals_mod.RefusalTable()
+        self.room = admission_queue_mod.AdmissionQueue(
             chooser=self.chooser,
             loads=self.loads,
             pace=self.pace,
-            changed=self.room_changed,
+            capacity_changed=self.room_changed,
             rng=self.rng,
             vm=host.vm,
-            waiters_changed=self.loads_changed.set,
+            on_waiters_changed=self.loads_changed.set,
             split=policy.split,
         )
         self.quotas = quota_buckets.SharedBuckets(
@@ -105,7 +105,7 @@
             began=self.began,
             limit_of=self._limit_of,
         )
-        self.grants = rate_grants.Grants(
+        self.grants = rate_grants.RateGrants(
             vm=host.vm,
             eligible=self.eligible,
             loads=self.loads,
@@ -113,18 +113,20 @@
             metrics=self.metrics,
             rng=self.rng,
         )
-        self.quota_use = quota_use.UseBook(window_s=host.bounds.quota_window_s)
+        self.quota_use = quota_use.QuotaUseTracker(
+            window_s=host.bounds.quota_window_s
+        )
         self.gateways: dict[types.VmId, messages.GatewayAddress] = {}
         self.planned_stop = planned_stop.PlannedStop()
         self._told: set[types.VmId] = set()
-        self._lines: dict[types.ServiceName, opening.Line] = {}
+        self._lines: dict[types.ServiceName, plain_queue.PlainQueue] = {}
         self._meters: dict[types.ServiceName, role_balance.DemandMeter] = {}
         self._budgets: dict[types.ServiceName, retry_budget.RetryBudget] = {}
 
     def _limit_of(self, name: types.OrganisationName) -> model.Quota | None:
         if self.routes is None:
             return None
-        item = self.routes.organisations.named(name)
+        item = self.routes.organisations.by_name(name)
         return None if item is None else item.quota
 
     def loop_time(self) -> float:
@@ -174,7 +176,7 @@
         """
         since = self.loop_time() - _GATEWAY_SILENT_S
         for vm in set(self.gateways) - self._told - {self.host.vm}:
-            if not self.loads.heard_from(vm, since):
+            if not self.loads.received_since(vm, since):
                 del self.gateways[vm]
                 self._note_gateways()
                 self.loads.forget(vm)
@@ -205,9 +207,9 @@
             self._budgets[service] = found
         return found
 
-    def line(self, service: types.ServiceName) -> opening.Line:
+    def line(self, service: types.ServiceName) -> plain_queue.PlainQueue:
         """Those that wait here for a plain service."""
-        return self._lines.setdefault(service, opening.Line())
+        return self._lines.setdefault(service, plain_queue.PlainQueue())
 
     def meter(self, service: types.ServiceName) -> role_balance.DemandMeter:
         """What this gateway's clients ask of a model service."""
@@ -221,7 +223,7 @@
         """What they have asked lately, for each model service."""
         now = self.loop_time()
         return tuple(
-            meter.rate(service, now, self.pace)
+            meter.demand(service, now, self.pace)
             for service, meter in self._meters.items()
         )
 
@@ -230,8 +232,8 @@
         return max(2, service.max_connections * 9 // 10 // self.gateway_count)
 
 
-def _quota_terms(bounds: settings.Bounds) -> quota.Terms:
-    return quota.Terms(
+def _quota_terms(bounds: settings.Bounds) -> quota.QuotaSettings:
+    return quota.QuotaSettings(
         window_s=bounds.quota_window_s,
         overshoot=bounds.quota_overshoot,
         slack=bounds.quota_slack,
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -17,9 +17,9 @@
 from rackpost.coordinator import messages
 from rackpost.decide import eligibility
 from rackpost.decide import endpoint_load
-from rackpost.decide import groups
+from rackpost.decide import endpoint_rates
+from rackpost.decide import gateway_groups
 from rackpost.decide import rate_grants as rate_decisions
-from rackpost.decide import rates
 from rackpost import exceptions
 from rackpost.gateway import rate_grants
 from rackpost.http1 import address
@@ -210,24 +210,26 @@
         self._world = world
         self._vm = vm
         table = endpoints.EndpointTable()
-        table.take(ENDPOINT, 0.0)
+        table.update(ENDPOINT, 0.0)
         self._eligible = eligibility.Eligibility(table=table, rng=world.rng)
-        self._eligible.rates.answered(
-            ENDPOINT, rates.Named(per_s=world.spec.rate), world.now()
+        self._eligible.rates.record_answer(
+            ENDPOINT,
+            endpoint_rates.AnswerRate(per_s=world.spec.rate),
+            world.now(),
         )
-        self._loads = endpoint_load.LoadBook(changed=lambda: None)
+        self._loads = endpoint_load.LoadTable(on_change=lambda: None)
         self._number = 0
         self._life = world.rng.getrandbits(32)
-        self._grants = rate_grants.Grants(
+        self._grants = rate_grants.RateGrants(
             vm=vm,
             eligible=self._eligible,
             loads=self._loads,
-            group=groups.Group(vm=vm),
+            group=gateway_groups.Group(vm=vm),
             metrics=metrics.Metrics(),
             rng=world.rng,
         )
         self._grants.set_gateways(
-            messages.GatewayAddress(vm=name, loads=f"{name}:1")
+            messages.GatewayAddress(vm=name, load_address=f"{name}:1")
             for name in world.present()
         )
         self._grants.send = self._send
@@ -238,11 +240,11 @@
     async def may_send(self) -> bool:
         """Whether a grant was had."""
         now = self._world.now()
-        if not self._eligible.may_begin(ENDPOINT, now):
+        if not self._eligible.may_select(ENDPOINT, now):
             return False
-        self._eligible.chose(ENDPOINT, now)
+        self._eligible.record_selection(ENDPOINT, now)
         try:
-            async with self._grants.granted(
+            async with self._grants.acquire(
                 ENDPOINT, priority=2, waits=self._world.spec.waits
             ) as grant:
                 self._grants.spend(ENDPOINT, grant)
@@ -253,21 +255,21 @@
     def take(self, data: bytes, sender: address.Address) -> None:
         """A figure of another gateway, or a message on a grant."""
         msg = _DECODER.decode(data)
-        if isinstance(msg, messages.Loads):
+        if isinstance(msg, messages.GatewayLoad):
             now = self._world.now()
-            self._loads.take(msg.vm, msg.life, msg.number, {}, now)
+            self._loads.receive(msg.vm, msg.incarnation, msg.sequence, {}, now)
         else:
-            self._grants.take(msg, sender)
+            self._grants.receive(msg, sender)
 
     def tell(self) -> None:
         """Tell the others that this one is there."""
         self._number += 1
-        msg = messages.Loads(
+        msg = messages.GatewayLoad(
             vm=self._vm,
-            loads=f"{self._vm}:1",
-            life=self._life,
-            number=self._number,
-            uses={},
+            load_address=f"{self._vm}:1",
+            incarnation=self._life,
+            sequence=self._number,
+            loads={},
         )
         data = codec.encode(msg)
         for name in self._world.names:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -158,7 +158,7 @@
                 assert site.crashes == _MOST_CRASHES
                 held = [
                     item.request
-                    for item in site.core_books()[0].held(site.now())
+                    for item in site.core_books()[0].quarantined(site.now())
                 ]
                 assert len(held) == 1
                 refused = await site.ask(31, "/gen/x", b"crash run")
@@ -170,7 +170,7 @@
 async def _unframed(req: message.Request, responder: server.Responder) -> None:
     """A sound answer, without a length, that ends with its connection."""
     responder._conn.closing = True
-    responder.bare(200, platform_site.echoed(req))
+    responder.bare(200, platform_site.vouching_headers(req))
     responder._conn.write(b"whole, or not")
 
 
@@ -201,8 +201,10 @@
                     )
                     for number in range(3)
                 ]
-                suspects.take(told, site.now())
-                is_held = suspects.left_s(known_by, site.now()) > 0.0
+                suspects.receive(told, site.now())
+                is_held = (
+                    suspects.quarantine_left_s(known_by, site.now()) > 0.0
+                )
                 assert is_held is not framed
 
     asyncio.run(main())
@@ -220,7 +222,7 @@
                 assert await site.release(held[0]) == 404
                 await platform_site.until(
                     lambda: not any(
-                        item.site.suspects.book.held(site.now())
+                        item.site.suspects.book.quarantined(site.now())
                         for item in site.gateways.values()
                     )
                 )
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -9,7 +9,7 @@
 from rackpost.coordinator import process
 from rackpost.decide import endpoint_load
 from rackpost.decide import kv_forecast
-from rackpost.gateway import load_share
+from rackpost.gateway import load_exchange
 from rackpost.link import channel
 from rackpost.link import codec
 from rackpost.testing import virtual
@@ -32,7 +32,7 @@
     def link(self, coordinator: process.Coordinator) -> None:
         coordinator._introduce(
             self.there,
-            messages.GatewayHello(vm=self.vm, loads=f"{self.vm}:7661"),
+            messages.GatewayHello(vm=self.vm, load_address=f"{self.vm}:7661"),
         )
 
     def _receive(self, msg: msgspec.Struct) -> None:
@@ -89,11 +89,11 @@
             nonlocal count
             count += 1
 
-        loads = endpoint_load.LoadBook(changed=changed)
+        loads = endpoint_load.LoadTable(on_change=changed)
         for number in range(gateways - 1):
-            loads.take(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
+            loads.receive(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
         for _ in range(10):
-            loads.hold(types.EndpointId("p"))()
+            loads.add_request(types.EndpointId("p"))()
         return count
 
     assert told(68) == 0
@@ -103,22 +103,22 @@
 def test_some_gateways_tell_each_request_of_a_plain_service() -> None:
     """At twenty gateways that costs little, and samples are old figures."""
     told = []
-    loads = endpoint_load.LoadBook(changed=lambda: told.append(True))
+    loads = endpoint_load.LoadTable(on_change=lambda: told.append(True))
     for number in range(19):
-        loads.take(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
-    loads.hold(types.EndpointId("p"))()
+        loads.receive(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
+    loads.add_request(types.EndpointId("p"))()
     assert len(told) == 2
 
 
 def test_many_gateways_tell_each_generation() -> None:
     """Its memory is given away by all of them."""
     told = []
-    loads = endpoint_load.LoadBook(changed=lambda: told.append(True))
+    loads = endpoint_load.LoadTable(on_change=lambda: told.append(True))
     for number in range(67):
-        loads.take(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
-    run = kv_forecast.Run(size=10, left=10)
-    loads.hold(types.EndpointId("d"), run=run)()
-    loads.hold(types.EndpointId("p"), prompt=10)()
+        loads.receive(types.VmId(f"g{number}"), 1, 1, {}, 0.0)
+    run = kv_forecast.Run(held_tokens=10, remaining_tokens=10)
+    loads.add_request(types.EndpointId("d"), run=run)()
+    loads.add_request(types.EndpointId("p"), prompt=10)()
     assert len(told) == 4
 
 
@@ -128,5 +128,5 @@
     In a crowd of 30 generations a second two gateways then gave the same
     room away, and runs were preempted.
     """
-    assert load_share.gather_s(68) < 0.02
-    assert load_share.gather_s(370) < 0.05
+    assert load_exchange.batching_delay_s(68) < 0.02
+    assert load_exchange.batching_delay_s(370) < 0.05
--- a/tests/test_opening.py
+++ b/tests/test_plain_queue.py
@@ -11,20 +11,24 @@
 import pytest
 
 from rackpost.decide import backoff
-from rackpost.decide import opening
-from rackpost.decide import rates
-from rackpost.gateway import place as place_mod
+from rackpost.decide import endpoint_rates
+from rackpost.decide import plain_queue
+from rackpost.gateway import reservation as reservation_mod
 from rackpost.testing import virtual
-from tests import test_room
+from tests import test_admission_queue
 
-LATE = opening.Rank(priority=3, until=1.0)
-URGENT = opening.Rank(priority=1, until=2.0)
-MORE_URGENT = opening.Rank(priority=1, until=1.0)
+LATE = plain_queue.Rank(priority=3, deadline=1.0)
+URGENT = plain_queue.Rank(priority=1, deadline=2.0)
+MORE_URGENT = plain_queue.Rank(priority=1, deadline=1.0)
 
 
 def wait_s(ahead: int, *, opens_s: float = 0.0, per_s: float | None) -> float:
-    return opening.wait_s(
-        ahead=ahead, count=2, answer_s=0.1, opens_s=opens_s, per_s=per_s
+    return plain_queue.expected_wait_s(
+        ahead=ahead,
+        count=2,
+        answer_s=0.1,
+        available_in_s=opens_s,
+        rate_per_s=per_s,
     )
 
 
@@ -44,38 +48,42 @@
 
 
 def test_the_most_urgent_looks_first() -> None:
-    line = opening.Line()
-    with line.waiting(LATE) as late, line.waiting(URGENT) as urgent:
+    line = plain_queue.PlainQueue()
+    with line.join(LATE) as late, line.join(URGENT) as urgent:
         assert line.ahead(LATE) == 1 and line.ahead(URGENT) == 0
-        assert line.may_look(urgent.rank, 1.0)
-        assert not line.may_look(late.rank, 1.0)
+        assert line.may_check(urgent.rank, 1.0)
+        assert not line.may_check(late.rank, 1.0)
         # One that comes new goes by the same order.
-        assert line.may_look(MORE_URGENT, 1.0)
+        assert line.may_check(MORE_URGENT, 1.0)
         # It has looked, and looks again later: others need not wait for it.
-        urgent.looks_at = 1.2
-        assert line.may_look(late.rank, 1.1)
-        assert not line.may_look(late.rank, 1.2)
-    assert line.may_look(LATE, 1.5)
+        urgent.next_check_at = 1.2
+        assert line.may_check(late.rank, 1.1)
+        assert not line.may_check(late.rank, 1.2)
+    assert line.may_check(LATE, 1.5)
 
 
 def test_who_is_refused_comes_back_in_the_order_of_refusal() -> None:
-    line = opening.Line()
-    with line.waiting(URGENT):
+    line = plain_queue.PlainQueue()
+    with line.join(URGENT):
         # After the one that waits.
-        turns = [line.turn_s(1.0, 2.0, 10.0) for _ in range(3)]
+        turns = [line.retry_after_s(1.0, 2.0, 10.0) for _ in range(3)]
     assert turns == [1.5, 2.0, 2.5]
-    assert line.turn_s(0.0, 2.0, 100.0) == 0.0
+    assert line.retry_after_s(0.0, 2.0, 100.0) == 0.0
 
 
-def _wanted(now: float, left_s: float) -> place_mod.Wanted:
-    found = test_room.wanted(now, left_s)
+def _wanted(now: float, left_s: float) -> reservation_mod.ReservationRequest:
+    found = test_admission_queue.reservation_request(now, left_s)
     claim = msgspec.structs.replace(found.claim, start_by=now + left_s)
     return msgspec.structs.replace(found, claim=claim)
 
 
 async def _crowd(
-    group: test_room.Group, count: int, left_s: float
-) -> list[asyncio.Task[place_mod.Place | place_mod.Full]]:
+    group: test_admission_queue.Group, count: int, left_s: float
+) -> list[
+    asyncio.Task[
+        reservation_mod.DecodeReservation | reservation_mod.NoCapacity
+    ]
+]:
     """Generations that come at one moment to one gateway."""
     now = asyncio.get_running_loop().time()
     gateway = group.gateways[0]
@@ -88,10 +96,16 @@
 
 
 def _refused(
-    tasks: list[asyncio.Task[place_mod.Place | place_mod.Full]],
-) -> list[place_mod.Full]:
+    tasks: list[
+        asyncio.Task[
+            reservation_mod.DecodeReservation | reservation_mod.NoCapacity
+        ]
+    ],
+) -> list[reservation_mod.NoCapacity]:
     done = [task.result() for task in tasks if task.done()]
-    return [item for item in done if isinstance(item, place_mod.Full)]
+    return [
+        item for item in done if isinstance(item, reservation_mod.NoCapacity)
+    ]
 
 
 def test_of_a_crowd_at_a_rate_those_past_their_time_are_told_at_once() -> None:
@@ -101,17 +115,19 @@
     """
 
     async def main() -> None:
-        group = test_room.Group(count=1)
+        group = test_admission_queue.Group(count=1)
         gateway = group.gateways[0]
         for number in range(2):
             gateway.add_endpoint(number)
             key = f"d{number}"
-            named = rates.Named(per_s=2.0)
-            gateway.eligible.rates.answered(
+            named = endpoint_rates.AnswerRate(per_s=2.0)
+            gateway.eligible.rates.record_answer(
                 gateway.table.alive[key], named, 0.0
             )
             # The owner has said when the next may be asked for.
-            gateway.eligible.gate.unanswered(gateway.table.alive[key], 0.0)
+            gateway.eligible.gate.record_no_answer(
+                gateway.table.alive[key], 0.0
+            )
         tasks = await _crowd(group, 100, 3.0)
         refused = _refused(tasks)
         assert 85 <= len(refused) <= 90
@@ -127,12 +143,12 @@
     """Two endpoints of six slots open in time for those to begin."""
 
     async def main() -> None:
-        group = test_room.Group(count=1)
+        group = test_admission_queue.Group(count=1)
         gateway = group.gateways[0]
         for number in range(2):
             gateway.add_endpoint(number)
             endpoint = gateway.table.alive[f"d{number}"]
-            gateway.eligible.backoffs.asked(endpoint, 3.0, 0.0)
+            gateway.eligible.backoffs.record_backoff(endpoint, 3.0, 0.0)
         tasks = await _crowd(group, 60, 3.45)
         refused = _refused(tasks)
         assert 46 <= len(refused) <= 50
