--- a/rackpost/decide/admission.py
+++ b/rackpost/decide/admission.py
@@ -1,34 +1,30 @@
-"""Whether a plain request can be in time at its endpoint.  Pure."""
+"""Decide whether a plain request can be answered before its target."""
 
 import msgspec
 
-# Part of the target that the expected answer time may take; the rest is
-# for the spread of the work and the way.
+# Share of the target that the expected answer time may take; the rest allows
+# for variation in service time and for the network.
 _TARGET_SHARE = 0.85
-# The same for one that came back: it is late already, since its time counts
-# from its first try, and takes a place only where the wait is short for those
-# who can still be in time.  Served whatever the wait, those who came back
-# filled the queue for all: of a crowd at 1.6 times what an endpoint carries
-# 31 in 100 were in time, now 68, and 26 are refused for good in place of 21
-# (tests/test_plain_overload.py, with the queue of 24 that endpoints have).
-_BACK_SHARE = 0.6
-# Nobody is told to come back sooner than this, in seconds.
-_SOONEST_S = 0.3
-_SPREAD_S = 0.6
-# Clients heed a time to come back up to this part of what they have left.
-_HEEDED = 1.0 / 3.0
+# The same for a request that was refused before.  Its target counts from its
+# first attempt, so it is admitted only where it delays no request that can
+# still be in time.
+_REFUSED_BEFORE_SHARE = 0.6
+_MIN_RETRY_AFTER_S = 0.3
+_MAX_JITTER_S = 0.6
+# Clients honour a Retry-After of up to this share of their remaining time.
+_MAX_SHARE_OF_REMAINING = 1.0 / 3.0
 
 
 class Arrival(msgspec.Struct, frozen=True, kw_only=True):
-    """A request at the endpoint where the wait is least.
+    """A new plain request and the endpoint with the shortest wait for it.
 
     Attributes:
-        ahead: requests under way there.
-        slots: how many of them it works on at once.
-        work_s: the work of one of them, as observed; 0 if none was.
-        target_s: what is left until it would be late; 0 without a target.
-        remaining_s: what is left of its time.
-        refused_before: it was refused before.
+        ahead: requests in flight at the endpoint.
+        slots: requests that the endpoint serves concurrently.
+        work_s: observed service time of one request; 0 if unknown.
+        target_s: time until the answer is late; 0 without a target.
+        remaining_s: time until the client's timeout.
+        refused_before: an earlier attempt of the client was refused.
     """
 
     ahead: int
@@ -40,24 +36,27 @@
 
 
 def expected_s(arrival: Arrival) -> float:
-    """How long its answer will take."""
+    """Return the expected time until the request is answered, in seconds."""
     rounds = (arrival.ahead + 1) / max(1, arrival.slots)
     return arrival.work_s * max(1.0, rounds)
 
 
 def should_refuse(arrival: Arrival) -> bool:
-    """Whether it does better to be refused now than to be late.
+    """Whether to refuse the request now, since its answer would be late.
 
-    Only while the endpoint has more to do than it can work on at once.
+    Never true while the endpoint has a free slot.
     """
     if arrival.target_s <= 0.0 or arrival.ahead < arrival.slots:
         return False
-    share = _BACK_SHARE if arrival.refused_before else _TARGET_SHARE
+    share = _REFUSED_BEFORE_SHARE if arrival.refused_before else _TARGET_SHARE
     return expected_s(arrival) > share * arrival.target_s
 
 
 def retry_after_s(arrival: Arrival, jitter: float) -> float:
-    """When it should come back, in seconds; `jitter` is from 0 to 1."""
-    too_long = expected_s(arrival) - arrival.target_s
-    after = max(_SOONEST_S, too_long) + _SPREAD_S * jitter
-    return min(after, _HEEDED * arrival.remaining_s)
+    """Return when a refused client should retry, in seconds.
+
+    `jitter` is a random fraction from 0 to 1.
+    """
+    excess_s = expected_s(arrival) - arrival.target_s
+    delay_s = max(_MIN_RETRY_AFTER_S, excess_s) + _MAX_JITTER_S * jitter
+    return min(delay_s, _MAX_SHARE_OF_REMAINING * arrival.remaining_s)
--- a/rackpost/decide/answer_lengths.py
+++ b/rackpost/decide/answer_lengths.py
@@ -1,41 +1,42 @@
-"""What clients' guesses of an answer's length are worth.  Pure.
+"""Correct clients' estimates of answer length by the lengths observed.
 
-A guess that is right in the median is too short on the average, since
-long answers are longer than short ones are short.
+Answer lengths are skewed: an estimate that is right in the median is too
+short on average.
 """
 
 import math
 
-# Weight of the newest answer in the running average.
-_ALPHA = 0.05
-# By what part of the answer guesses are wrong until some were seen: they
-# are right in the median and often far off.
-_USUAL_SPREAD = 0.5
-# One answer that is far off its guess does not count for more than this.
-_MOST_X = 4.0
+# Weight of the newest answer in the running averages.
+_EWMA_WEIGHT = 0.05
+# Relative error of estimates that is assumed until answers were observed.
+_INITIAL_SPREAD = 0.5
+# Limits the influence of a single outlier.
+_MAX_RATIO = 4.0
 
 
 class AnswerLengths:
-    """The running average of length over guess, and its deviation."""
+    """Running mean and variance of actual over estimated answer length."""
 
     def __init__(self) -> None:
         self._ratio = 1.0
-        self._variance = _USUAL_SPREAD * _USUAL_SPREAD
+        self._variance = _INITIAL_SPREAD * _INITIAL_SPREAD
 
     def record_answer(self, *, guess: int, actual: int) -> None:
-        """An answer has come whole."""
+        """Record the estimated and actual length of a complete answer."""
         if guess <= 0 or actual <= 0:
             return
-        ratio = min(_MOST_X, actual / guess)
-        off = ratio - self._ratio
-        self._variance += _ALPHA * (off * off - self._variance)
-        self._ratio += _ALPHA * off
+        ratio = min(_MAX_RATIO, actual / guess)
+        deviation = ratio - self._ratio
+        self._variance += _EWMA_WEIGHT * (
+            deviation * deviation - self._variance
+        )
+        self._ratio += _EWMA_WEIGHT * deviation
 
     @property
     def spread(self) -> float:
-        """By what part of an answer's length guesses are usually wrong."""
+        """The usual error of an estimate, as a share of the length."""
         return math.sqrt(self._variance) / max(1.0, self._ratio)
 
     def expected(self, guess: int, max_tokens: int) -> int:
-        """Tokens that an answer will have, on the average."""
+        """Return the mean length of answers with this estimate, in tokens."""
         return min(max_tokens, int(guess * max(1.0, self._ratio)))
--- a/rackpost/decide/fingerprint.py
+++ b/rackpost/decide/fingerprint.py
@@ -1,13 +1,13 @@
-"""What a request is known by when it comes again under another id.  Pure."""
+"""Identify a request that is repeated under another id."""
 
 import hashlib
 
 from rackpost import types
 
-# Bytes of the digest.  Who finds a second request with the digest of a given
-# one could have that one refused: 2^128 tries, which nobody has.
-_BYTES = 16
-# Sets these digests apart from all others that are made of the same bytes.
+# Long enough that a caller cannot forge a request with the digest of
+# another, which would be quarantined with it.
+_DIGEST_BYTES = 16
+# Keeps these digests apart from other digests of the same bytes.
 _PURPOSE = b"rackpost request"
 
 
@@ -18,15 +18,15 @@
     target: bytes,
     body: bytes,
 ) -> types.Fingerprint:
-    """The digest of who asks, and of what.
+    """Return a digest of a request's organisation and content.
 
-    The organisation is a part of it, so that nobody can bring about a
-    digest that another's request has.  Headers are not: a client's id is
-    new each time, and one that takes up a broken stream names an event.
+    The organisation is included so that no other organisation can produce
+    the same digest.  Headers are left out: a retry has a new request id, and
+    one that resumes a stream has an event id.
     """
-    found = hashlib.blake2b(digest_size=_BYTES, person=_PURPOSE)
-    for part in (organisation.encode(), method, target):
-        found.update(b"%d:" % len(part))
-        found.update(part)
+    found = hashlib.blake2b(digest_size=_DIGEST_BYTES, person=_PURPOSE)
+    for field in (organisation.encode(), method, target):
+        found.update(b"%d:" % len(field))
+        found.update(field)
     found.update(body)
     return types.Fingerprint(found.digest())
--- a/rackpost/decide/fleet_size.py
+++ b/rackpost/decide/fleet_size.py
@@ -1,16 +1,9 @@
-"""From how many gateways on decisions are made another way.  Pure.
+"""Numbers of gateways, this one included, at which behaviour changes."""
 
-Numbers of gateways, the deciding one included.
-"""
-
-# With more gateways than this a race for one place is to be expected within
-# the milliseconds in which they hear of each other: they spread their
-# choices, and wait for each other's word on who goes first.  With fewer that
-# would delay every start.
+# Above this, gateways are likely to compete for the same capacity within the
+# delay of their load reports.  They then randomise their choices and check
+# each other's waiting requests, which would delay each start in a small site.
 MAX_GATEWAYS_WITHOUT_RACES = 8
-# With more gateways than this plain requests are told of with the next
-# figures, as a sample, and not one by one.  Of 68 gateways each has few under
-# way when it tells, and two messages a request to each other one were a third
-# of all that crossed between data centres; of twenty the messages are few,
-# and samples that are a second old say less than each request.
+# Above this, plain requests are only reported in the periodic load reports.
+# Reporting each one at once would take a message to every gateway.
 MAX_GATEWAYS_FOR_INSTANT_REPORTS = 32
--- a/rackpost/decide/gateway_groups.py
+++ b/rackpost/decide/gateway_groups.py
@@ -1,12 +1,11 @@
-"""Groups of gateways that share a part of the endpoints.  Pure.
+"""Divide a large fleet of gateways into groups with their own endpoints.
 
-Each gateway tells its figures to those that choose among the same
-endpoints.  With many gateways all endpoints told to all would cost each of
-them more the more there are: of 370 each would send and take 369 messages a
-second at least.  In groups it costs the same whatever their number is.
+Gateways that choose among the same endpoints report their load to each other.
+Groups of bounded size keep the number of reports for each gateway constant as
+the fleet grows.
 
-Groups are found by rendezvous hashing, by each process alone: when their
-number changes by one, little moves.
+Each process assigns gateways and endpoints to groups by rendezvous hashing,
+so that few are reassigned when the number of groups changes by one.
 """
 
 import functools
@@ -15,27 +14,25 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# Up to this many gateways share all endpoints: places are given away best
-# where all are known, and 95 were served with 107 KB a second into and out of
-# each, requests included.
-_MOST_TOGETHER = 96
-# Gateways of a group, where there are groups.
-_SIZE = 64
-# Endpoints of one kind that a group has at least; where its part holds fewer
-# it chooses among all, by figures of its own gateways alone.
-_FEWEST = 6
+# A fleet of up to this many gateways is not divided: choices are best where
+# the load of all endpoints is known.
+_MAX_UNDIVIDED_GATEWAYS = 96
+# Usual number of gateways in a group.
+_GROUP_SIZE = 64
+# A group with fewer endpoints of a kind chooses among all endpoints instead.
+_MIN_GROUP_ENDPOINTS = 6
 
 
 def group_count(gateways: int) -> int:
-    """How many groups so many gateways form."""
-    if gateways <= _MOST_TOGETHER:
+    """Return the number of groups for a number of gateways."""
+    if gateways <= _MAX_UNDIVIDED_GATEWAYS:
         return 1
-    return -(-gateways // _SIZE)
+    return -(-gateways // _GROUP_SIZE)
 
 
 @functools.lru_cache(maxsize=16384)
 def group_of(name: str, groups: int) -> int:
-    """The group of a gateway or an endpoint, from 0 on."""
+    """Return the number of a gateway's or endpoint's group, from 0."""
     if groups <= 1:
         return 0
     return max(
@@ -44,30 +41,30 @@
 
 
 class Group:
-    """The group that one gateway is in."""
+    """The group of one gateway."""
 
     def __init__(self, *, vm: types.VmId) -> None:
         self._vm = vm
         self._groups = 1
 
     def set_gateways(self, gateways: int) -> None:
-        """So many gateways there are."""
+        """Set the number of gateways in the fleet."""
         self._groups = group_count(gateways)
 
     @property
     def is_partial(self) -> bool:
-        """Whether there are others."""
+        """Whether the fleet is divided into several groups."""
         return self._groups > 1
 
     def contains(self, name: str) -> bool:
-        """Whether a gateway or an endpoint is in it."""
+        """Whether a gateway or an endpoint is in the group."""
         return group_of(name, self._groups) == group_of(self._vm, self._groups)
 
     def select(
         self, found: list[endpoints.Endpoint]
     ) -> list[endpoints.Endpoint]:
-        """Its part of some endpoints; all where that would be too few."""
+        """Return the group's endpoints, or all if the group has too few."""
         if not self.is_partial:
             return found
-        mine = [item for item in found if self.contains(item.id)]
-        return mine if len(mine) >= _FEWEST else found
+        own = [item for item in found if self.contains(item.id)]
+        return own if len(own) >= _MIN_GROUP_ENDPOINTS else found
--- a/rackpost/decide/notice_relays.py
+++ b/rackpost/decide/notice_relays.py
@@ -1,9 +1,9 @@
-"""Which gateways tell news on to coordinators.  Pure.
+"""Choose the gateways that relay an endpoint's notices to coordinators.
 
-Coordinators tell each other what they hear of endpoints; gateways tell it on
-for those that do not reach each other.  If all did, one endpoint's news would
-come to each coordinator from each gateway: with 103 gateways and a thousand
-endpoints 400,000 messages as a site starts, by reckoning.
+Coordinators exchange notices of endpoints with each other; gateways relay
+them to coordinators that cannot reach each other.  Only a few gateways relay
+the notices of an endpoint, so that the number of messages does not grow with
+the number of gateways.
 """
 
 import heapq
@@ -12,18 +12,17 @@
 from rackpost.decide import rendezvous
 from rackpost import types
 
-# So many gateways tell each endpoint's news on: one of them may be down, and
-# another out of reach of a coordinator.
+# Allows for one relay that is down and one that cannot reach a coordinator.
 _RELAYS = 4
 
 
 def is_relay(
     me: types.VmId, gateways: Iterable[types.VmId], subject: str
 ) -> bool:
-    """Whether a gateway is among those that tell a subject's news on.
+    """Whether a gateway relays a subject's notices.
 
-    Each finds out by itself, by rendezvous hashing; one that knows fewer
-    of the others tells more on.
+    Each gateway decides by rendezvous hashing over the gateways that it
+    knows; one that knows fewer of them relays more.
     """
     others = {vm for vm in gateways if vm != me}
     if len(others) < _RELAYS:
--- a/rackpost/decide/recent_refusals.py
+++ b/rackpost/decide/recent_refusals.py
@@ -1,62 +1,68 @@
-"""Which requests were refused lately and may come back.  Pure.
+"""Recognise requests that were refused lately and are retried.
 
-A request that comes back carries a new id, and may come to another
-gateway; it is known again by its prompt.
+A retry has a new request id and may arrive at another gateway.  It is
+recognised by its content.
 """
 
 import zlib
 
-# Whoever comes back does so within a third of its time; this is more than
-# that for the longest time that a client has (14 s), in seconds.
+# Clients retry within a third of their remaining time, which is 14 s at most.
 _KEEP_S = 6.0
-# Told to other gateways with each change, so that it must stay small: for
-# as long as it takes that one of several datagrams arrives, in seconds.
-_TELL_S = 1.0
-_MOST = 64
+# Each refusal is repeated in the reports of this period, so that one of them
+# arrives.
+_REPORT_S = 1.0
+# Bounds the size of a report.
+_MAX_REPORTED = 64
 
 
 class RefusalTable:
-    """Prompts that were refused, here and at other gateways."""
+    """Keys of requests refused here and at other gateways."""
 
     def __init__(self) -> None:
         self._own: dict[int, float] = {}
-        self._told: dict[int, float] = {}
+        self._reported: dict[int, float] = {}
 
     @staticmethod
-    def key(route: str, part: bytes, body: bytes) -> int:
-        """What a request is known by: route, a name of its own, body."""
+    def key(route: str, content_id: bytes, body: bytes) -> int:
+        """Return a checksum of a request's route, content id and body.
+
+        The content id is the request target, or for a generation the id of
+        the last part of its prompt.
+        """
         start = zlib.crc32(route.encode())
-        return zlib.crc32(body, zlib.crc32(part, start))
+        return zlib.crc32(body, zlib.crc32(content_id, start))
 
     def add(self, key: int, now: float) -> None:
-        """A request was refused here."""
+        """Record a request that this gateway refused."""
         self._own.pop(key, None)
         self._own[key] = now
-        _trim(self._own, now)
+        _drop_expired(self._own, now)
 
     def receive(self, keys: tuple[int, ...], now: float) -> None:
-        """Another gateway has refused these lately.
+        """Record the recent refusals that another gateway reports.
 
-        It tells each of them many times; the first time counts.
+        A refusal is reported repeatedly; its first report counts.
         """
-        _trim(self._told, now)
+        _drop_expired(self._reported, now)
         for key in keys:
-            self._told.setdefault(key, now)
+            self._reported.setdefault(key, now)
 
     def was_refused(self, key: int, now: float) -> bool:
-        """Whether a request was refused before."""
-        at = max(self._own.get(key, -_KEEP_S), self._told.get(key, -_KEEP_S))
+        """Whether a request was refused lately at any gateway."""
+        at = max(
+            self._own.get(key, -_KEEP_S), self._reported.get(key, -_KEEP_S)
+        )
         return now - at < _KEEP_S
 
     def recent(self, now: float) -> tuple[int, ...]:
-        """What other gateways may not have been told yet."""
-        _trim(self._own, now)
-        fresh = [key for key, at in self._own.items() if now - at < _TELL_S]
-        return tuple(fresh[-_MOST:])
+        """Return the refusals to report to other gateways."""
+        _drop_expired(self._own, now)
+        fresh = [key for key, at in self._own.items() if now - at < _REPORT_S]
+        return tuple(fresh[-_MAX_REPORTED:])
 
 
-def _trim(book: dict[int, float], now: float) -> None:
-    for key, at in list(book.items()):
+def _drop_expired(refused_at: dict[int, float], now: float) -> None:
+    for key, at in list(refused_at.items()):
         if now - at < _KEEP_S:
             return
-        del book[key]
+        del refused_at[key]
--- a/rackpost/decide/retry_budget.py
+++ b/rackpost/decide/retry_budget.py
@@ -1,56 +1,56 @@
-"""How many repeats a service may get, without asking anyone.  Pure.
+"""Limit the retries to a service without coordination between gateways.
 
-The site allows ratio x requests + slack repeats in any window, over all
-gateways.  Each gateway takes the ratio of its own requests and an even
-part of the slack; so the sum holds, whatever the shares of traffic are.
+The site allows ratio x requests + slack retries in any window, over all
+gateways.  Each gateway uses the ratio of its own requests and an equal share
+of the slack, so the limit holds however requests are spread.
 """
 
 import collections
 
-# Part of the allowance that is used: gateways do not know of each other
-# at once when one comes or goes.
-_USED = 0.8
+# Share of the allowance that is used: when a gateway starts or ends, the
+# others notice it with a delay.
+_USED_SHARE = 0.8
 
 
 class RetryBudget:
-    """The repeats to one service."""
+    """The retry budget of one service at one gateway."""
 
     def __init__(self, *, ratio: float, slack: float, window_s: float) -> None:
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
         self._requests: collections.deque[float] = collections.deque()
-        self._repeats: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
 
     def record_request(self, now: float) -> None:
-        """A client's request for the service has come."""
+        """Record a client's request for the service."""
         self._requests.append(now)
 
     def allows(self, now: float, gateways: int) -> bool:
-        """Whether one more repeat may be sent."""
+        """Whether one more retry may be sent."""
         return self.remaining(now, gateways) >= 1.0
 
     def remaining(self, now: float, gateways: int) -> float:
-        """Repeats that may still be sent now."""
-        self._trim(now)
+        """Return the retries that may still be sent now."""
+        self._drop_expired(now)
         slack = self._slack / max(1, gateways)
-        allowed = _USED * (self._ratio * len(self._requests) + slack)
-        return allowed - len(self._repeats)
+        allowed = _USED_SHARE * (self._ratio * len(self._requests) + slack)
+        return allowed - len(self._retries)
 
     def record_retry(self, now: float) -> None:
-        """A repeat is sent."""
-        self._repeats.append(now)
+        """Record that a retry is sent."""
+        self._retries.append(now)
 
     def refund(self, at: float) -> None:
-        """What was counted as a repeat at a clock reading was none."""
+        """Remove the retry recorded at a clock reading, which was not one."""
         try:
-            self._repeats.remove(at)
+            self._retries.remove(at)
         except ValueError:
             # It has left the window since.
             return
 
-    def _trim(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         before = now - self._window_s
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] < before:
                 times.popleft()
--- a/rackpost/decide/retry_decision.py
+++ b/rackpost/decide/retry_decision.py
@@ -1,10 +1,10 @@
-"""What a gateway does after an attempt did not give a whole answer.  Pure."""
+"""Decide what a gateway does after an attempt without a complete answer."""
 
 import enum
 
 import msgspec
 
-# A repeat that would have less time than this is not begun, in seconds.
+# No retry is started with less time left than this.
 MIN_TIME_S = 0.03
 
 
@@ -27,14 +27,14 @@
 
 
 class Situation(msgspec.Struct, frozen=True, kw_only=True):
-    """What the decision rests on.
+    """What the decision depends on.
 
     Attributes:
         repeatable: the request may run more than once.
         may_have_run: an earlier attempt may have run.
-        attempts_left: endpoints that may still run it.
-        budget_allows: the retry budget allows one more arrival.
-        time_left_s: until the request's time is up.
+        attempts_left: attempts that are still allowed.
+        budget_allows: the retry budget allows one more attempt.
+        time_left_s: time until the request's deadline.
     """
 
     repeatable: bool
@@ -44,29 +44,32 @@
     time_left_s: float
 
 
-def next_step(ended: AttemptEnd, now: Situation) -> NextStep:
-    """The next step after an attempt that ended in a certain way."""
-    if ended is AttemptEnd.NOT_SENT:
-        # Nothing arrived anywhere: neither an attempt nor a repeat.
-        if now.time_left_s > MIN_TIME_S:
+def next_step(end: AttemptEnd, situation: Situation) -> NextStep:
+    """Return what to do after an attempt ended in a certain way."""
+    if end is AttemptEnd.NOT_SENT:
+        # Nothing reached the endpoint: this counts neither as an attempt nor
+        # as a retry.
+        if situation.time_left_s > MIN_TIME_S:
             return NextStep.RETRY
-        return _give_up(now)
-    if ended is AttemptEnd.NOT_RUN:
-        if _may_go_on(now) and (now.repeatable or not now.may_have_run):
+        return _give_up(situation)
+    if end is AttemptEnd.NOT_RUN:
+        if _may_retry(situation) and (
+            situation.repeatable or not situation.may_have_run
+        ):
             return NextStep.RETRY
-        return _give_up(now)
-    if now.repeatable and _may_go_on(now):
+        return _give_up(situation)
+    if situation.repeatable and _may_retry(situation):
         return NextStep.RETRY
-    return NextStep.PASS_ON if ended is AttemptEnd.FAILED else NextStep.FAIL
+    return NextStep.PASS_ON if end is AttemptEnd.FAILED else NextStep.FAIL
 
 
-def _may_go_on(now: Situation) -> bool:
+def _may_retry(situation: Situation) -> bool:
     return (
-        now.attempts_left > 0
-        and now.budget_allows
-        and now.time_left_s > MIN_TIME_S
+        situation.attempts_left > 0
+        and situation.budget_allows
+        and situation.time_left_s > MIN_TIME_S
     )
 
 
-def _give_up(now: Situation) -> NextStep:
-    return NextStep.FAIL if now.may_have_run else NextStep.REFUSE
+def _give_up(situation: Situation) -> NextStep:
+    return NextStep.FAIL if situation.may_have_run else NextStep.REFUSE
