--- a/rackpost/decide/candidates.py
+++ b/rackpost/decide/candidates.py
@@ -1,8 +1,8 @@
-"""Which endpoints of a service a gateway may choose from.  Pure.
+"""List the endpoints of a service that a gateway may choose from.
 
-What is never given up stands in `eligibility.py`.  Here are the preferences
-that every choice shares: an endpoint that is silent or has just failed is
-chosen from only where nothing better is left.
+Hard exclusions are in `eligibility.py`.  This module applies the preferences
+that all choices share: an endpoint that is silent or has just failed is a
+candidate only where there is no better one.
 """
 
 from typing import Sequence
@@ -15,7 +15,7 @@
 
 
 class Candidates:
-    """The endpoints that are known to one gateway, by service and role."""
+    """The endpoints known to one gateway, by service and role."""
 
     def __init__(
         self,
@@ -26,15 +26,15 @@
         silent_after_s: float,
         group: gateway_groups.Group | None = None,
     ) -> None:
-        """`silent_after_s`: after so long without a heartbeat others go first.
+        """Create the list for one gateway.
 
-        Of a `group` of gateways only its part of the endpoints is chosen
-        from.
+        An endpoint without a heartbeat for `silent_after_s` counts as silent.
+        Only the endpoints of the gateway's `group` are candidates.
         """
         self._table = table
         self._eligible = eligible
         self._health = health
-        self._silent_s = silent_after_s
+        self._silent_after_s = silent_after_s
         self._group = group or gateway_groups.Group(vm=types.VmId(""))
 
     def find(
@@ -47,37 +47,39 @@
         healthy_only: bool = False,
         include_failed: bool = False,
     ) -> list[endpoints.Endpoint]:
-        """Endpoints of a role that a request may be meant for.
+        """Return the endpoints of a role that a request may be sent to.
 
-        Those that are silent only if there is no other, and those that
-        have just failed neither then with `healthy_only`; with
-        `include_failed` as if they had not.
+        Silent endpoints are returned only if there is no other.  Endpoints
+        that have just failed are returned only if all have failed, never
+        with `healthy_only`, and always with `include_failed`.
         """
-        ready = [
+        eligible = [
             item
             for item in self.members(service, role)
             if self._eligible.may_select(item, now)
         ]
         found = [
             item
-            for item in self._group.select(ready)
+            for item in self._group.select(eligible)
             if item.id not in exclude
         ]
-        well = [
+        healthy = [
             item
             for item in found
             if include_failed or not self._health.is_avoided(item.id, now)
         ]
-        before = now - self._silent_s
-        heard = [
-            item for item in well if not self._table.is_silent(item.id, before)
+        since = now - self._silent_after_s
+        responsive = [
+            item
+            for item in healthy
+            if not self._table.is_silent(item.id, since)
         ]
-        return heard or well or ([] if healthy_only else found)
+        return responsive or healthy or ([] if healthy_only else found)
 
     def members(
         self, service: types.ServiceName, role: types.Role
     ) -> list[endpoints.Endpoint]:
-        """All of a service and role that are known, whatever their state."""
+        """Return all known endpoints of a service and role, in any state."""
         return [
             item
             for item in self._table.alive.values()
@@ -92,9 +94,10 @@
         exclude: Sequence[types.EndpointId] = (),
         now: float,
     ) -> float | None:
-        """How long until one of a role's endpoints may be chosen, in seconds.
+        """Return how long until an endpoint of a role is available.
 
-        0 where one may be now, or starts slowly; None where nothing tells.
+        In seconds: 0 where one is available or in its slow start, None where
+        no time is known.
         """
         found = [
             self._eligible.available_at(item, now)
@@ -111,11 +114,11 @@
         at: float,
         now: float,
     ) -> list[endpoints.Endpoint]:
-        """Those that may be chosen before a clock reading, as is known."""
+        """Return the endpoints known to be available before a reading."""
         found = []
         for item in self.members(service, role):
-            opens_at = self._eligible.available_at(item, now)
-            if opens_at is not None and opens_at < at:
+            available_at = self._eligible.available_at(item, now)
+            if available_at is not None and available_at < at:
                 found.append(item)
         return found
 
@@ -127,10 +130,9 @@
         exclude: Sequence[types.EndpointId] = (),
         now: float,
     ) -> float | None:
-        """How many requests a second this gateway may send to a role.
+        """Return how many requests a second this gateway may send to a role.
 
-        As far as is known, where each of its endpoints names a rate; None
-        where one takes what comes, or none takes anything.
+        None unless each available endpoint of the role has announced a rate.
         """
         if not self._eligible.rates.incarnations:
             return None
@@ -148,13 +150,13 @@
     def record_selection(
         self, endpoint: endpoints.Endpoint, now: float
     ) -> None:
-        """A request is meant for this endpoint."""
+        """Record that the endpoint was selected for a request."""
         self._eligible.record_selection(endpoint, now)
 
     def may_resend(self, endpoint: endpoints.Endpoint, now: float) -> bool:
         """Whether an endpoint that had a request may be sent it again.
 
-        Not one that has started again since: it holds nothing of it.
+        False after a restart of the endpoint, which has lost its state.
         """
         may_send = self._eligible.ineligible_reason(endpoint, now) is None
         return may_send and self._table.is_current(endpoint)
--- a/rackpost/decide/eligibility.py
+++ b/rackpost/decide/eligibility.py
@@ -1,16 +1,15 @@
-"""Which endpoints may be sent anything at all.  Pure.
+"""Decide which endpoints may be sent anything at all.
 
-Two kinds of rules leave an endpoint out.  What stands here is never given
-up, for no request and on no way: not for a first attempt or a repeat, not for
-a stream that goes on, not to read a prompt or to free what was read.  Whoever
-finds no endpoint that is left waits or is refused.
+An ineligible endpoint is sent nothing: no first attempt or retry, no
+continuation of a stream, no prompt, and no release of a prefill result.  A
+request without an eligible endpoint waits or is refused.
 
-An endpoint that names a rate is not barred; but each request there needs a
-grant (`rate_grants.py`), which is asked for just before it is sent.
+An endpoint that announces a rate stays eligible, but each request to it needs
+a grant (`rate_grants.py`), which is requested just before it is sent.
 
-Everything else is a preference and stands where endpoints are chosen
-(`endpoint_choice.py`): one that is silent, has just failed, has just been
-full or is slow is used last, and is used where nothing better is left.
+Preferences are applied where an endpoint is chosen (`endpoint_choice.py`):
+one that is silent, has just failed, is full or is slow is chosen only where
+there is no better one.
 """
 
 import enum
@@ -36,10 +35,11 @@
 
 
 class EndpointFeedback(NamedTuple):
-    """What an endpoint's answer says of later requests.
+    """What an endpoint's answer says about further requests.
 
-    `backoff_s` is how long it wants none, None where it asks for no time;
-    `rejected` tells that it did not take this one for want of room.
+    `backoff_s` is the back-off that it requests, or None; `leaving` means
+    that it accepts no more requests; `rejected` means that it did not accept
+    this request for lack of capacity.
     """
 
     backoff_s: float | None
@@ -48,7 +48,7 @@
 
 
 class Eligibility:
-    """Tells for one process which endpoints may be sent anything."""
+    """The endpoints that one process may send requests to."""
 
     def __init__(
         self,
@@ -60,68 +60,78 @@
         self.backoffs = backoff.BackoffTable(rng=rng)
         self.rates = endpoint_rates.RateTable()
         self.gate = rate_gate.RateGate(rates=self.rates)
-        self._changing: frozenset[types.EndpointId] = frozenset()
+        self._changing_role: frozenset[types.EndpointId] = frozenset()
 
     def set_changing_role(self, keys: Iterable[types.EndpointId]) -> None:
-        """These endpoints change their role and take nothing now."""
-        self._changing = frozenset(keys)
+        """Set the endpoints that are changing their role."""
+        self._changing_role = frozenset(keys)
 
     def answering_endpoint(
-        self, asked: endpoints.Endpoint, told: types.EndpointId | None
+        self,
+        requested: endpoints.Endpoint,
+        reported_id: types.EndpointId | None,
     ) -> endpoints.Endpoint | None:
-        """Whose answer it is: another one may have come to the address.
+        """Return the endpoint that sent an answer; None if it is unknown.
 
-        None where it is of one that is not known.
+        It may differ from the requested one, whose address may have passed
+        to another endpoint.
         """
-        if told is None or told == asked.id:
-            return asked
-        return self._table.alive.get(told)
+        if reported_id is None or reported_id == requested.id:
+            return requested
+        return self._table.alive.get(reported_id)
 
     def record_feedback(
-        self, endpoint: endpoints.Endpoint, said: EndpointFeedback, now: float
+        self,
+        endpoint: endpoints.Endpoint,
+        feedback: EndpointFeedback,
+        now: float,
     ) -> frozenset[IneligibleReason]:
-        """Note what an answer says of later requests; which is news."""
-        news = set()
-        if said.leaving and self._table.record_leaving(endpoint):
-            news.add(IneligibleReason.LEAVING)
-        if said.backoff_s is not None:
-            if self.backoffs.record_backoff(endpoint, said.backoff_s, now):
-                news.add(IneligibleReason.BACKOFF)
-        elif not said.rejected:
+        """Record what an answer says; return the reasons that are new."""
+        new = set()
+        if feedback.leaving and self._table.record_leaving(endpoint):
+            new.add(IneligibleReason.LEAVING)
+        if feedback.backoff_s is not None:
+            if self.backoffs.record_backoff(endpoint, feedback.backoff_s, now):
+                new.add(IneligibleReason.BACKOFF)
+        elif not feedback.rejected:
             self.backoffs.record_accepted(endpoint, now)
-        return frozenset(news)
+        return frozenset(new)
 
     def ineligible_reason(
         self, endpoint: endpoints.Endpoint, now: float
     ) -> IneligibleReason | None:
-        """Why nothing may be sent there now; None if it may.
+        """Return why nothing may be sent there now; None if eligible.
 
-        Asked when an endpoint is chosen, and again just before anything is
-        written to it: it may have changed while a connection was made.
+        Checked when an endpoint is chosen, and again just before a request is
+        written, since connecting takes time.
         """
         known = self._table.alive.get(endpoint.id)
         if known is None:
             return IneligibleReason.GONE
         if known.state is not endpoints.EndpointState.READY:
             return IneligibleReason.LEAVING
-        if known.id in self._changing:
+        if known.id in self._changing_role:
             return IneligibleReason.CHANGING_ROLE
         if self.backoffs.is_active(known, now):
             return IneligibleReason.BACKOFF
         return None
 
     def remaining_backoffs(self, now: float) -> dict[types.EndpointId, float]:
-        """How long this process is still to send nothing, in seconds."""
+        """Return the rest of each active back-off here, in seconds."""
         if not self.backoffs.size:
             return {}
         found = {
             item.id: self.backoffs.remaining_s(item, now)
             for item in self._table.alive.values()
         }
-        return {key: left_s for key, left_s in found.items() if left_s > 0.0}
+        return {
+            key: remaining_s
+            for key, remaining_s in found.items()
+            if remaining_s > 0.0
+        }
 
     def may_select(self, endpoint: endpoints.Endpoint, now: float) -> bool:
-        """Whether a request may be meant for it now."""
+        """Whether the endpoint may be selected for a request now."""
         return (
             self.ineligible_reason(endpoint, now) is None
             and self.backoffs.may_select(endpoint, now)
@@ -131,16 +141,16 @@
     def record_selection(
         self, endpoint: endpoints.Endpoint, now: float
     ) -> None:
-        """A request is meant for it."""
+        """Record that the endpoint was selected for a request."""
         self.backoffs.record_selection(endpoint, now)
         self.gate.record_selection(endpoint, now)
 
     def available_at(
         self, endpoint: endpoints.Endpoint, now: float
     ) -> float | None:
-        """When a request may be meant for it, as far as that is known.
+        """Return the clock reading from which the endpoint may be selected.
 
-        None where it is not: only a back-off and a rate say when.
+        None where it is ineligible for a reason that has no known end.
         """
         if self.ineligible_reason(endpoint, now) not in (
             None,
@@ -153,7 +163,7 @@
         )
 
     def forget_rates(self) -> None:
-        """Forget what lives of endpoints that are gone have named."""
+        """Drop the rates of incarnations that are gone."""
         self.rates.retain(
             {item.incarnation for item in self._table.alive.values()}
         )
