--- a/rackpost/decide/endpoint_choice.py
+++ b/rackpost/decide/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint a gateway sends a request to.  Pure."""
+"""Choose the endpoint that a gateway sends a request to."""
 
 import math
 import random
@@ -13,42 +13,40 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# An endpoint in another data centre is taken when it is less loaded by
-# more than this part; bytes between data centres are dear.
-_REMOTE_X = 1.15
-# A usual time of an answer until one was measured, in seconds.
-_USUAL_S = 0.1
-# Choices that differ by less than this part are as good as equal; ties are
-# broken at random, so that gateways do not act alike.
+# Factor on the wait at an endpoint in another data centre, since traffic
+# between data centres is expensive.
+_REMOTE_FACTOR = 1.15
+# Assumed answer time until one was measured.
+_DEFAULT_ANSWER_S = 0.1
+# Random spread of waits, so that gateways do not break ties alike.
 _JITTER = 0.02
-# Where each endpoint that is well has so many times what it works on at once,
-# those that have just failed are chosen from as well: many gateways see one
-# fail all the time that loses a part of its answers, and tell each other, so
-# that the others had its work and theirs, for longer than callers wait.
-_CROWDED_ROUNDS = 1.5
-# Plain endpoints where the wait is longer than the least by this factor are
-# not chosen by chance: they are slow, or lose answers.
-_ALIKE_X = 3.0
-# A prefill endpoint that may be sent prompts again so soon is waited for, in
-# seconds: read in place, a usual prompt takes longer than that.
-_SHORT_S = 0.2
-# Places at one endpoint that are counted; more make no difference to who
-# goes first.
-_MOST_PLACES = 3
+# Where each healthy endpoint has this many requests in flight per slot, those
+# that have just failed are candidates too.  Avoiding an endpoint that loses
+# some answers would overload the others.
+_OVERLOADED_ROUNDS = 1.5
+# Plain endpoints with a wait longer than this times the shortest are not
+# chosen: they are slow or lose answers.
+_MAX_WAIT_RATIO = 3.0
+# Waiting for a prefill endpoint that is available again this soon is faster
+# than to prefill in place.
+_SHORT_WAIT_S = 0.2
+# Bounds the count of requests that one endpoint has capacity for.
+_MAX_COUNTED = 3
 
 
 class InPlacePrefill(NamedTuple):
-    """A prompt that a decode endpoint reads itself.
+    """A prompt that a decode endpoint prefills itself.
 
-    It holds up the tokens of all that run there: one is read at a time,
-    and those that run make an event in between, in `min_interval_s` seconds.
+    A prefill pauses all generations at the endpoint.  So one prompt is
+    prefilled at a time, and the next not before `min_interval_s` seconds, in
+    which the generations emit an event.
     """
 
     min_interval_s: float
 
 
 class Chooser:
-    """Chooses among the endpoints that are known to one gateway."""
+    """Chooses among the endpoints known to one gateway."""
 
     def __init__(
         self,
@@ -67,7 +65,7 @@
         self._gateways = 1
 
     def set_gateways(self, count: int) -> None:
-        """So many gateways choose among the same endpoints."""
+        """Set how many gateways choose among the same endpoints."""
         self._gateways = count
 
     def choose_plain(
@@ -77,11 +75,11 @@
         exclude: Sequence[types.EndpointId] = (),
         now: float,
     ) -> endpoints.Endpoint | None:
-        """The endpoint of a plain service where the wait is least."""
+        """Return the endpoint of a plain service with the shortest wait."""
         found = self.candidates.find(
             service, types.Role.PLAIN, exclude=exclude, now=now
         )
-        if all(self._is_crowded(item) for item in found):
+        if all(self._is_overloaded(item) for item in found):
             found = self.candidates.find(
                 service,
                 types.Role.PLAIN,
@@ -89,25 +87,25 @@
                 now=now,
                 include_failed=True,
             )
-        with_room = self._with_room(found, now)
-        if not all(self._is_crowded(item) for item in with_room):
-            found = with_room
-        usual = self._usual_s(found)
-        waits = [(self._wait(item, usual), item) for item in found]
-        most = _ALIKE_X * min((wait for wait, _ in waits), default=0.0)
-        return self._least([pair for pair in waits if pair[0] <= most])
-
-    def _with_room(
+        accepting = self._without_rejecting(found, now)
+        if not all(self._is_overloaded(item) for item in accepting):
+            found = accepting
+        median_s = self._median_answer_s(found)
+        waits = [(self._wait(item, median_s), item) for item in found]
+        max_wait = _MAX_WAIT_RATIO * min(
+            (wait for wait, _ in waits), default=0.0
+        )
+        return self._pick_lowest(
+            [pair for pair in waits if pair[0] <= max_wait]
+        )
+
+    def _without_rejecting(
         self, found: list[endpoints.Endpoint], now: float
     ) -> list[endpoints.Endpoint]:
-        """Those that have not just turned a request away, here or elsewhere.
-
-        One that turns away within a millisecond has the least under way and
-        would look the best to the next request.  Used all the same where the
-        others are crowded, since it may turn away a part only: on eleven days
-        with plain endpoints that turned away a third of requests to all of
-        them, 194 of 27,500 callers were refused in place of 643; without the
-        others' crowding in view 801.
+        """Drop endpoints that have just rejected a request of any gateway.
+
+        One that rejects within a millisecond has few requests in flight and
+        would look like the best choice.
         """
         return [
             item
@@ -116,10 +114,10 @@
             and not self._health.has_reported_backoff(item.id, now)
         ]
 
-    def _is_crowded(self, item: endpoints.Endpoint) -> bool:
-        """Whether so much waits there that one that fails serves better."""
-        under_way = self._loads.total(item.id).requests
-        return under_way >= _CROWDED_ROUNDS * item.slots
+    def _is_overloaded(self, item: endpoints.Endpoint) -> bool:
+        """Whether a failing endpoint would serve better than this one."""
+        in_flight = self._loads.total(item.id).requests
+        return in_flight >= _OVERLOADED_ROUNDS * item.slots
 
     def choose_prefill(
         self,
@@ -130,55 +128,60 @@
         max_ahead_tokens: int | None = None,
         now: float,
     ) -> endpoints.Endpoint | None:
-        """The prefill endpoint with the least to read before `prompt`.
+        """Return the prefill endpoint that finishes a prompt soonest.
 
-        None where there is none with a free slot, and at most
-        `max_ahead_tokens` tokens to read first.
+        `prompt` is its length in tokens.  None where no endpoint has a free
+        slot and at most `max_ahead_tokens` to prefill before it.
         """
-        found = self._prefilling(service, exclude, now)
-        usual = self._usual_s(found)
+        found = self._prefill_endpoints(service, exclude, now)
+        median_s = self._median_answer_s(found)
         free = []
         for item in found:
-            if not self._takes_prompt(item, max_ahead_tokens, now):
+            if not self._accepts_prompt(item, max_ahead_tokens, now):
                 continue
-            slow = self._health.slowness(item.id, usual)
+            slowness = self._health.slowness(item.id, median_s)
             ahead = self._loads.total(item.id).prompt_tokens
-            wait = (ahead + prompt) * slow * self._far(item)
+            wait = (ahead + prompt) * slowness * self._distance_factor(item)
             free.append((wait, item))
-        return self._least(self._spared(free, now))
+        return self._pick_lowest(self._prefer_without_backoff(free, now))
 
-    def _prefilling(
+    def _prefill_endpoints(
         self,
         service: types.ServiceName,
-        but: Sequence[types.EndpointId],
+        exclude: Sequence[types.EndpointId],
         now: float,
     ) -> list[endpoints.Endpoint]:
-        # Where all of them fail, prompts are read in place at once: four
-        # gateways went on sending to one that refused connections.
+        # Failed endpoints are left out even if all have failed: prompts are
+        # then prefilled in place.
         return self.candidates.find(
             service,
             types.Role.PREFILL,
-            exclude=but,
+            exclude=exclude,
             now=now,
             healthy_only=True,
         )
 
-    def _takes_prompt(
-        self, item: endpoints.Endpoint, most_ahead: int | None, now: float
+    def _accepts_prompt(
+        self,
+        item: endpoints.Endpoint,
+        max_ahead_tokens: int | None,
+        now: float,
     ) -> bool:
-        use = self._loads.total(item.id)
-        if use.requests >= item.slots or self._health.is_full(item.id, now):
+        load = self._loads.total(item.id)
+        if load.requests >= item.slots or self._health.is_full(item.id, now):
             return False
-        return most_ahead is None or use.prompt_tokens <= most_ahead
+        return (
+            max_ahead_tokens is None or load.prompt_tokens <= max_ahead_tokens
+        )
 
-    def _least(
+    def _pick_lowest(
         self, found: list[tuple[float, endpoints.Endpoint]]
     ) -> endpoints.Endpoint | None:
-        """The endpoint with the least figure, spread over gateways.
+        """Return the endpoint with the lowest figure.
 
-        Many gateways, whose figures are some milliseconds old, of plain
-        requests up to a second, would all take the least: of two at random
-        each takes the lesser.
+        With many gateways, the better of two random endpoints: the gateways'
+        load figures are up to a second old, and all gateways would pick the
+        same endpoint.
         """
         if self._gateways > fleet_size.MAX_GATEWAYS_WITHOUT_RACES:
             self._rng.shuffle(found)
@@ -196,9 +199,10 @@
         exclude: Sequence[types.EndpointId] = (),
         now: float,
     ) -> endpoints.Endpoint | None:
-        """The decode endpoint with the most room; None if none has it.
+        """Return the decode endpoint with the most free KV memory.
 
-        `capacity` is the KV memory of each endpoint, in tokens.
+        None if none has capacity for `run`.  `capacity` is the KV memory of
+        each endpoint, in tokens.
         """
         found = self.candidates.find(
             service, types.Role.DECODE, exclude=exclude, now=now
@@ -207,16 +211,15 @@
         for item in found:
             peak = self._peak_with(item, [run], capacity, in_place, now)
             if peak is not None:
-                fitting.append((peak * self._far(item), item))
-        return self._least(self._spared(fitting, now))
+                fitting.append((peak * self._distance_factor(item), item))
+        return self._pick_lowest(self._prefer_without_backoff(fitting, now))
 
-    def _spared(
+    def _prefer_without_backoff(
         self, found: list[tuple[float, endpoints.Endpoint]], now: float
     ) -> list[tuple[float, endpoints.Endpoint]]:
-        """Without those that other gateways are to leave alone.
+        """Drop endpoints in a back-off of other gateways, unless all are.
 
-        They would ask this one for the same, after a prompt was read.  All
-        where there is no other.
+        They would probably request a back-off here too.
         """
         rest = [
             pair
@@ -233,31 +236,31 @@
         in_place: InPlacePrefill | None,
         now: float,
     ) -> int | None:
-        """How full it would get with further runs; None if it can't."""
+        """Return the peak KV use with further runs; None without capacity."""
         if self._health.is_full(item.id, now):
             return None
-        use = self._loads.total(item.id)
-        if use.requests + len(runs) > item.slots:
+        load = self._loads.total(item.id)
+        if load.requests + len(runs) > item.slots:
             return None
         if in_place is not None:
-            may_read = self._may_read(item, use, in_place, now)
-            if len(runs) > 1 or not may_read:
+            may_prefill = self._may_prefill_in_place(item, load, in_place, now)
+            if len(runs) > 1 or not may_prefill:
                 return None
-        peak = kv_forecast.peak_tokens([*use.runs, *runs])
+        peak = kv_forecast.peak_tokens([*load.runs, *runs])
         return peak if peak <= capacity else None
 
-    def _may_read(
+    def _may_prefill_in_place(
         self,
         item: endpoints.Endpoint,
-        use: endpoint_load.EndpointLoad,
+        load: endpoint_load.EndpointLoad,
         in_place: InPlacePrefill,
         now: float,
     ) -> bool:
-        """Whether it is the turn of one more prompt to be read there."""
-        if use.prompt_tokens > 0:
+        """Whether the endpoint may prefill one more prompt now."""
+        if load.prompt_tokens > 0:
             return False
-        # Where nothing runs, nobody needs a pause.
-        return not use.runs or not self._loads.prefilled_within(
+        # The interval matters only to generations that run there.
+        return not load.runs or not self._loads.prefilled_within(
             item.id, in_place.min_interval_s, now
         )
 
@@ -270,14 +273,17 @@
         in_place: InPlacePrefill | None = None,
         now: float,
     ) -> int:
-        """How many runs like this one there is room for, some at most."""
+        """Return how many runs like `run` the decode endpoints can take.
+
+        The count is bounded for each endpoint.
+        """
         found = self.candidates.find(service, types.Role.DECODE, now=now)
         return sum(
-            self._places_at(item, run, capacity, in_place, now)
+            self._capacity_at(item, run, capacity, in_place, now)
             for item in found
         )
 
-    def _places_at(
+    def _capacity_at(
         self,
         item: endpoints.Endpoint,
         run: kv_forecast.Run,
@@ -285,32 +291,29 @@
         in_place: InPlacePrefill | None,
         now: float,
     ) -> int:
-        for count in range(_MOST_PLACES):
+        for count in range(_MAX_COUNTED):
             runs = [run] * (count + 1)
             peak = self._peak_with(item, runs, capacity, in_place, now)
             if peak is None:
                 return count
-        return _MOST_PLACES
+        return _MAX_COUNTED
 
     def must_prefill_in_place(
         self, service: types.ServiceName, now: float
     ) -> bool:
-        """Whether no endpoint prefills, so that decodes read themselves.
-
-        One that asked for a short back-off is waited for.
-        """
-        if self._prefilling(service, (), now):
+        """Whether no prefill endpoint is available, or will be shortly."""
+        if self._prefill_endpoints(service, (), now):
             return False
         soon = self.candidates.available_by(
-            service, types.Role.PREFILL, now + _SHORT_S, now
+            service, types.Role.PREFILL, now + _SHORT_WAIT_S, now
         )
         return all(self._health.is_avoided(item.id, now) for item in soon)
 
     def accepts_all_prompts(
         self, service: types.ServiceName, since: float, now: float
     ) -> bool:
-        """Whether no endpoint that prefills has turned one away since."""
-        found = self._prefilling(service, (), now)
+        """Whether no prefill endpoint has rejected a prompt since `since`."""
+        found = self._prefill_endpoints(service, (), now)
         return not any(
             self._health.rejected_since(item.id, since) for item in found
         )
@@ -318,18 +321,19 @@
     def prefill_capacity(
         self, service: types.ServiceName, max_ahead_tokens: int, now: float
     ) -> int:
-        """How many prompts can be taken now, one at each endpoint."""
-        found = self._prefilling(service, (), now)
+        """Return how many prefill endpoints can take a prompt now."""
+        found = self._prefill_endpoints(service, (), now)
         return sum(
-            self._takes_prompt(item, max_ahead_tokens, now) for item in found
+            self._accepts_prompt(item, max_ahead_tokens, now) for item in found
         )
 
     def running_generations(
         self, service: types.ServiceName, now: float
     ) -> int:
-        """How many generations hold a place that will come free.
+        """Return how many generations run at endpoints of a service.
 
-        Those at an endpoint in its back-off as well: they go on.
+        Those at an endpoint in a back-off count, since its capacity will be
+        available again.
         """
         found = self.candidates.available_by(
             service, types.Role.DECODE, math.inf, now
@@ -337,7 +341,10 @@
         return sum(len(self._loads.total(item.id).runs) for item in found)
 
     def free_decode_slots(self, service: types.ServiceName, now: float) -> int:
-        """Slots of decode endpoints that are free, now or when they open."""
+        """Return the free slots of decode endpoints.
+
+        Those of endpoints in a back-off count.
+        """
         found = self.candidates.available_by(
             service, types.Role.DECODE, math.inf, now
         )
@@ -349,23 +356,25 @@
     def median_answer_s(
         self, service: types.ServiceName, role: types.Role
     ) -> float:
-        """What an answer usually takes there, in seconds."""
-        return self._usual_s(self.candidates.members(service, role))
+        """Return the median answer time of a role's endpoints, in seconds."""
+        return self._median_answer_s(self.candidates.members(service, role))
 
-    def _usual_s(self, found: Sequence[endpoints.Endpoint]) -> float:
+    def _median_answer_s(self, found: Sequence[endpoints.Endpoint]) -> float:
         known = sorted(
-            took
-            for took in (self._health.mean_answer_s(item.id) for item in found)
-            if took is not None
+            answer_s
+            for answer_s in (
+                self._health.mean_answer_s(item.id) for item in found
+            )
+            if answer_s is not None
         )
-        return known[len(known) // 2] if known else _USUAL_S
+        return known[len(known) // 2] if known else _DEFAULT_ANSWER_S
 
-    def _wait(self, item: endpoints.Endpoint, usual: float) -> float:
-        use = self._loads.total(item.id)
-        rounds = (use.requests + 1) / max(1, item.slots)
-        slow = self._health.slowness(item.id, usual)
+    def _wait(self, item: endpoints.Endpoint, median_s: float) -> float:
+        load = self._loads.total(item.id)
+        rounds = (load.requests + 1) / max(1, item.slots)
+        slowness = self._health.slowness(item.id, median_s)
         jitter = 1.0 + _JITTER * self._rng.random()
-        return (0.5 + rounds) * slow * self._far(item) * jitter
+        return (0.5 + rounds) * slowness * self._distance_factor(item) * jitter
 
-    def _far(self, item: endpoints.Endpoint) -> float:
-        return 1.0 if item.data_centre == self._data_centre else _REMOTE_X
+    def _distance_factor(self, item: endpoints.Endpoint) -> float:
+        return 1.0 if item.data_centre == self._data_centre else _REMOTE_FACTOR
--- a/rackpost/decide/endpoint_health.py
+++ b/rackpost/decide/endpoint_health.py
@@ -1,177 +1,185 @@
-"""Which endpoints to avoid, from their own answers.  Pure."""
+"""Track failures, rejections and answer times of endpoints."""
 
 import math
 
 from rackpost import types
 
-# The first pause after a failure, doubled with each further one in a row.
-_PAUSE_S = 0.4
-_MAX_PAUSE_S = 3.0
-# An endpoint without room is asked again after this, doubled each time:
-# some hundred ms pass between the ends of two runs there.
-_FULL_S = 0.25
+# An endpoint is avoided this long after a failure, doubled with each further
+# failure in a row.
+_MIN_AVOID_S = 0.4
+_MAX_AVOID_S = 3.0
+# An endpoint that rejected a request counts as full this long, doubled with
+# each further rejection in a row.
+_MIN_FULL_S = 0.25
 _MAX_FULL_S = 2.0
-# What another gateway tells of a back-off counts for this long: it tells it
-# again at least each second.
-_TOLD_S = 1.5
+# How long another gateway's report of a back-off counts; it is repeated at
+# least each second.
+_REPORT_LIFETIME_S = 1.5
 # Weight of the newest answer in the running averages.
-_ALPHA = 0.15
-# An endpoint whose requests fail always counts as this many times slower.
-_FAILING_X = 8.0
+_EWMA_WEIGHT = 0.15
+# Slowness added to an endpoint that fails all requests.
+_FAILURE_PENALTY = 8.0
 
 
-class _Record:
-    """What one endpoint's answers were like."""
+class _EndpointHealth:
+    """Health of one endpoint."""
 
     def __init__(self) -> None:
-        self.failed_in_row = 0
+        self.failures_in_row = 0
         self.avoid_until = 0.0
-        self.failing = 0.0
+        # Running average of failures, from 0 to 1.
+        self.failure_rate = 0.0
         self.answer_s: float | None = None
         self.work_s = 0.0
-        self.full_in_row = 0
+        self.rejections_in_row = 0
         self.full_until = 0.0
-        # It has asked another gateway to wait until then.
-        self.others_wait_until = 0.0
-        # When it turned a request away, here or at another gateway.
-        self.full_at = -math.inf
+        # End of a back-off that another gateway reported.
+        self.reported_backoff_until = 0.0
+        # Last rejection, here or at another gateway.
+        self.rejected_at = -math.inf
 
 
 class HealthTracker:
-    """Running averages for each endpoint."""
+    """Health of each endpoint, as one gateway knows it."""
 
     def __init__(self) -> None:
-        self._records: dict[types.EndpointId, _Record] = {}
+        self._records: dict[types.EndpointId, _EndpointHealth] = {}
 
-    def _record(self, endpoint: types.EndpointId) -> _Record:
-        return self._records.setdefault(endpoint, _Record())
+    def _record(self, endpoint: types.EndpointId) -> _EndpointHealth:
+        return self._records.setdefault(endpoint, _EndpointHealth())
 
     def record_answer(self, endpoint: types.EndpointId, took_s: float) -> None:
-        """A whole answer came, of whatever status but an own failure."""
+        """Record a complete answer that is not the endpoint's own failure."""
         record = self._record(endpoint)
-        record.failed_in_row = 0
+        record.failures_in_row = 0
         record.avoid_until = 0.0
-        record.full_in_row = 0
-        record.failing *= 1.0 - _ALPHA
+        record.rejections_in_row = 0
+        record.failure_rate *= 1.0 - _EWMA_WEIGHT
         if record.answer_s is None:
             record.answer_s = took_s
-        record.answer_s += _ALPHA * (took_s - record.answer_s)
+        record.answer_s += _EWMA_WEIGHT * (took_s - record.answer_s)
 
     def record_work(
         self, endpoint: types.EndpointId, took_s: float, rounds: float
     ) -> None:
-        """An answer took so long with `rounds` full rounds before its end."""
+        """Record an answer time that includes `rounds` service times."""
         record = self._record(endpoint)
-        work = took_s / max(1.0, rounds)
-        record.work_s = record.work_s or work
-        record.work_s += _ALPHA * (work - record.work_s)
+        work_s = took_s / max(1.0, rounds)
+        record.work_s = record.work_s or work_s
+        record.work_s += _EWMA_WEIGHT * (work_s - record.work_s)
 
     def work_s(self, endpoint: types.EndpointId) -> float:
-        """The work of one request there, in seconds; 0 if none was seen."""
+        """Return the mean service time, in seconds; 0 if unknown."""
         record = self._records.get(endpoint)
         return 0.0 if record is None else record.work_s
 
     def record_error(self, endpoint: types.EndpointId) -> None:
-        """The endpoint answered with a failure of its own."""
+        """Record an answer that is the endpoint's own failure."""
         record = self._record(endpoint)
-        record.failing += _ALPHA * (1.0 - record.failing)
+        record.failure_rate += _EWMA_WEIGHT * (1.0 - record.failure_rate)
 
     def record_failure(self, endpoint: types.EndpointId, now: float) -> bool:
-        """No connection, or no sound answer; whether this is news."""
+        """Record a failed connection or an invalid answer.
+
+        Return whether it is the first failure in a row.
+        """
         record = self._record(endpoint)
-        record.failing += _ALPHA * (1.0 - record.failing)
-        record.failed_in_row += 1
-        pause = _PAUSE_S * 2 ** (record.failed_in_row - 1)
-        record.avoid_until = now + min(pause, _MAX_PAUSE_S)
-        return record.failed_in_row == 1
+        record.failure_rate += _EWMA_WEIGHT * (1.0 - record.failure_rate)
+        record.failures_in_row += 1
+        avoid_s = _MIN_AVOID_S * 2 ** (record.failures_in_row - 1)
+        record.avoid_until = now + min(avoid_s, _MAX_AVOID_S)
+        return record.failures_in_row == 1
 
     def record_rejection(self, endpoint: types.EndpointId, now: float) -> None:
-        """It had no room for a request, whatever the figures say."""
+        """Record that the endpoint rejected a request for lack of capacity."""
         record = self._record(endpoint)
-        record.full_in_row += 1
-        record.full_at = now
-        pause = _FULL_S * 2 ** (record.full_in_row - 1)
-        record.full_until = now + min(pause, _MAX_FULL_S)
+        record.rejections_in_row += 1
+        record.rejected_at = now
+        full_s = _MIN_FULL_S * 2 ** (record.rejections_in_row - 1)
+        record.full_until = now + min(full_s, _MAX_FULL_S)
 
     def record_reported_full(
         self, endpoint: types.EndpointId, now: float
     ) -> None:
-        """Another gateway was turned away there just now."""
+        """Record a rejection that another gateway reported."""
         record = self._record(endpoint)
-        record.full_at = now
-        record.full_until = max(record.full_until, now + _FULL_S)
+        record.rejected_at = now
+        record.full_until = max(record.full_until, now + _MIN_FULL_S)
 
     def record_reported_backoff(
         self, endpoint: types.EndpointId, left_s: float, now: float
     ) -> None:
-        """Another gateway was asked to send it nothing for so long.
+        """Record a back-off of another gateway, with `left_s` to go.
 
-        This one was not, and may send where nobody else has room.  What is
-        not told again is soon forgotten.
+        It does not bind this gateway, which prefers other endpoints while
+        the report is repeated.
         """
         record = self._record(endpoint)
-        record.others_wait_until = now + min(left_s, _TOLD_S)
+        record.reported_backoff_until = now + min(left_s, _REPORT_LIFETIME_S)
 
     def has_reported_backoff(
         self, endpoint: types.EndpointId, now: float
     ) -> bool:
-        """Whether another gateway is to send it nothing."""
+        """Whether another gateway reports a back-off for the endpoint."""
         record = self._records.get(endpoint)
-        return record is not None and now < record.others_wait_until
+        return record is not None and now < record.reported_backoff_until
 
     def is_full(self, endpoint: types.EndpointId, now: float) -> bool:
-        """Whether it has just turned a request away."""
+        """Whether the endpoint has just rejected a request."""
         record = self._records.get(endpoint)
         return record is not None and now < record.full_until
 
     def rejected_since(self, endpoint: types.EndpointId, since: float) -> bool:
-        """Whether any gateway has told of a request that it turned away."""
+        """Whether the endpoint rejected a request of any gateway since."""
         record = self._records.get(endpoint)
-        return record is not None and record.full_at > since
+        return record is not None and record.rejected_at > since
 
     def full_endpoints(self, now: float) -> tuple[types.EndpointId, ...]:
-        """Endpoints that have just turned this gateway away."""
+        """Return the endpoints that have just rejected this gateway."""
         return tuple(
             key
             for key, record in self._records.items()
-            if record.full_in_row and now < record.full_until
+            if record.rejections_in_row and now < record.full_until
         )
 
     def record_reported_failure(
         self, endpoint: types.EndpointId, now: float
     ) -> None:
-        """Another gateway has seen it fail just now."""
+        """Record a failure that another gateway reported."""
         record = self._record(endpoint)
-        record.avoid_until = max(record.avoid_until, now + _PAUSE_S)
+        record.avoid_until = max(record.avoid_until, now + _MIN_AVOID_S)
 
     def failed_endpoints(self, now: float) -> tuple[types.EndpointId, ...]:
-        """Endpoints whose failure this gateway has just seen itself."""
+        """Return the endpoints that have just failed for this gateway."""
         return tuple(
             key
             for key, record in self._records.items()
-            if record.failed_in_row and now < record.avoid_until
+            if record.failures_in_row and now < record.avoid_until
         )
 
     def is_avoided(self, endpoint: types.EndpointId, now: float) -> bool:
-        """Whether it has just failed and is left alone for a while."""
+        """Whether the endpoint is avoided after a recent failure."""
         record = self._records.get(endpoint)
         return record is not None and now < record.avoid_until
 
     def slowness(self, endpoint: types.EndpointId, usual_s: float) -> float:
-        """How many times slower than usual it answers, failures included."""
+        """Return the answer time relative to `usual_s`.
+
+        Failures increase it.
+        """
         record = self._records.get(endpoint)
         if record is None:
             return 1.0
-        times = 1.0
+        ratio = 1.0
         if record.answer_s is not None and usual_s > 0:
-            times = max(0.25, record.answer_s / usual_s)
-        return times * (1.0 + _FAILING_X * record.failing)
+            ratio = max(0.25, record.answer_s / usual_s)
+        return ratio * (1.0 + _FAILURE_PENALTY * record.failure_rate)
 
     def mean_answer_s(self, endpoint: types.EndpointId) -> float | None:
-        """The running average of its answers' time, in seconds."""
+        """Return the mean answer time, in seconds; None if unknown."""
         record = self._records.get(endpoint)
         return None if record is None else record.answer_s
 
     def forget(self, endpoint: types.EndpointId) -> None:
-        """An endpoint has ended."""
+        """Drop the record of an endpoint that has ended."""
         self._records.pop(endpoint, None)
--- a/rackpost/decide/endpoint_load.py
+++ b/rackpost/decide/endpoint_load.py
@@ -1,7 +1,8 @@
-"""What is under way at each endpoint, from all gateways.  Pure.
+"""Sum up the load of each endpoint over all gateways.
 
-Each gateway counts what it has sent and tells the others; a figure that
-has not been refreshed lately is dropped, since its gateway may be gone.
+Each gateway counts the requests that it has in flight and reports the counts
+to the others.  A report that is not refreshed expires, since its gateway may
+be gone.
 """
 
 import contextlib
@@ -12,23 +13,23 @@
 
 from rackpost.decide import fleet_size
 from rackpost.decide import kv_forecast
-from rackpost.decide import queue_order as queue_order_mod
+from rackpost.decide import queue_order
 from rackpost import types
 
-# Gateways tell their figures at least each second; three may be lost.
+# Gateways report at least each second; up to three reports may be lost.
 KEEP_S = 3.5
-# Who waits at a gateway that has missed one telling is not waited for: it
-# may be gone, and nobody would take the place meanwhile; in seconds.
-_FIRST_S = 1.3
+# Waiting requests of a gateway count only this long after its last report:
+# if the gateway is gone, capacity left for them would stay unused.
+_WAITING_LIFETIME_S = 1.3
 
 
 class EndpointLoad(msgspec.Struct, array_like=True, kw_only=True):
-    """What is under way at one endpoint.
+    """Load of one endpoint.
 
     Attributes:
         requests: requests that run or wait there.
         prompt_tokens: tokens of prompts that are still to be prefilled.
-        runs: what decodes hold of its KV memory.
+        runs: the generations that use its KV memory.
     """
 
     requests: int = 0
@@ -36,28 +37,33 @@
     runs: list[kv_forecast.Run] = []
 
 
-class _Heard:
-    """The latest figures of another gateway."""
+class _GatewayReport:
+    """The latest report of another gateway."""
 
     def __init__(self) -> None:
-        self.life = 0
-        self.number = -1
-        self.at = 0.0
-        self.uses: dict[types.EndpointId, EndpointLoad] = {}
-        self.first: tuple[queue_order_mod.WaitingSummary, ...] = ()
+        self.incarnation = 0
+        self.sequence = -1
+        self.received_at = 0.0
+        self.loads: dict[types.EndpointId, EndpointLoad] = {}
+        self.waiting: tuple[queue_order.WaitingSummary, ...] = ()
 
 
 class LoadTable:
-    """Own and others' use of the endpoints."""
+    """This gateway's and the other gateways' load of the endpoints."""
 
     def __init__(self, *, on_change: Callable[[], None]) -> None:
-        """`on_change` is called when others should know own figures."""
+        """Create an empty table.
+
+        `on_change` is called when a change should be reported at once.
+        """
         self.own: dict[types.EndpointId, EndpointLoad] = {}
-        self._changed = on_change
-        self._others: dict[types.VmId, _Heard] = {}
-        # The same figures by endpoint: few gateways use one at a time.
-        self._at: dict[types.EndpointId, dict[types.VmId, EndpointLoad]] = {}
-        self._read_at: dict[types.EndpointId, float] = {}
+        self._on_change = on_change
+        self._reports: dict[types.VmId, _GatewayReport] = {}
+        # The reported loads by endpoint, for fast summation.
+        self._by_endpoint: dict[
+            types.EndpointId, dict[types.VmId, EndpointLoad]
+        ] = {}
+        self._prefilled_at: dict[types.EndpointId, float] = {}
 
     @contextlib.contextmanager
     def request_added(
@@ -81,33 +87,36 @@
         prompt: int = 0,
         run: kv_forecast.Run | None = None,
     ) -> Callable[[], None]:
-        """Count one request at an endpoint until the result is called."""
-        use = self.own.setdefault(endpoint, EndpointLoad())
-        use.requests += 1
-        use.prompt_tokens += prompt
+        """Count one request at an endpoint until the result is called.
+
+        `prompt` is the number of tokens to prefill there.
+        """
+        load = self.own.setdefault(endpoint, EndpointLoad())
+        load.requests += 1
+        load.prompt_tokens += prompt
         if run is not None:
-            use.runs.append(run)
-        is_told = run is not None or prompt > 0
-        self._note_change(is_told)
+            load.runs.append(run)
+        is_generation = run is not None or prompt > 0
+        self._report_change(is_generation)
 
         def release() -> None:
-            use.requests -= 1
-            use.prompt_tokens -= prompt
+            load.requests -= 1
+            load.prompt_tokens -= prompt
             if run is not None:
-                _remove(use.runs, run)
-            if use.requests == 0:
+                _remove(load.runs, run)
+            if load.requests == 0:
                 self.own.pop(endpoint, None)
-            self._note_change(is_told)
+            self._report_change(is_generation)
 
         return release
 
-    def _note_change(self, is_told: bool) -> None:
+    def _report_change(self, is_generation: bool) -> None:
         if (
-            is_told
+            is_generation
             or self.gateway_count
             <= fleet_size.MAX_GATEWAYS_FOR_INSTANT_REPORTS
         ):
-            self._changed()
+            self._on_change()
 
     def receive(
         self,
@@ -116,121 +125,121 @@
         sequence: int,
         loads: dict[types.EndpointId, EndpointLoad],
         now: float,
-        waiting: tuple[queue_order_mod.WaitingSummary, ...] = (),
+        waiting: tuple[queue_order.WaitingSummary, ...] = (),
     ) -> None:
-        """Take another gateway's figures; older ones are dropped.
+        """Take in another gateway's report, unless a newer one has arrived.
 
-        `incarnation` differs after a restart, when numbers begin anew;
-        `waiting` are those that wait for a place and go first.
+        `sequence` starts again with each incarnation of the gateway;
+        `waiting` are its most urgent waiting generations.
         """
-        heard = self._others.setdefault(sender, _Heard())
-        if incarnation == heard.life and sequence <= heard.number:
+        report = self._reports.setdefault(sender, _GatewayReport())
+        if incarnation == report.incarnation and sequence <= report.sequence:
             return
-        heard.life = incarnation
-        heard.number = sequence
-        heard.at = now
-        self._note_read_since(heard, loads, now)
-        self._unindex(sender, heard)
-        heard.uses = loads
-        for endpoint, use in loads.items():
-            self._at.setdefault(endpoint, {})[sender] = use
-        heard.first = waiting
-
-    def _note_read_since(
+        report.incarnation = incarnation
+        report.sequence = sequence
+        report.received_at = now
+        self._record_finished_prefills(report, loads, now)
+        self._unindex(sender, report)
+        report.loads = loads
+        for endpoint, load in loads.items():
+            self._by_endpoint.setdefault(endpoint, {})[sender] = load
+        report.waiting = waiting
+
+    def _record_finished_prefills(
         self,
-        heard: _Heard,
-        uses: dict[types.EndpointId, EndpointLoad],
+        report: _GatewayReport,
+        loads: dict[types.EndpointId, EndpointLoad],
         now: float,
     ) -> None:
-        """Note where a gateway has no prompt any more that is read."""
-        for endpoint, use in heard.uses.items():
+        """Record where a gateway has no prompt left to prefill."""
+        for endpoint, load in report.loads.items():
             if (
-                use.prompt_tokens
-                and not uses.get(endpoint, EndpointLoad()).prompt_tokens
+                load.prompt_tokens
+                and not loads.get(endpoint, EndpointLoad()).prompt_tokens
             ):
                 self.record_prefilled(endpoint, now)
 
     def record_prefilled(self, endpoint: types.EndpointId, now: float) -> None:
-        """An endpoint has read a prompt to its end."""
-        self._read_at[endpoint] = now
+        """Record that an endpoint has finished a prefill."""
+        self._prefilled_at[endpoint] = now
 
     def prefilled_within(
-        self, endpoint: types.EndpointId, rest_s: float, now: float
+        self, endpoint: types.EndpointId, interval_s: float, now: float
     ) -> bool:
-        """Whether its last prompt was read less than `rest_s` ago."""
-        return now < self._read_at.get(endpoint, -rest_s) + rest_s
+        """Whether the last prefill finished less than `interval_s` ago."""
+        return now < self._prefilled_at.get(endpoint, -interval_s) + interval_s
 
     def received_since(self, sender: types.VmId, since: float) -> bool:
-        """Whether a gateway has told its figures after a clock reading."""
-        heard = self._others.get(sender)
-        return heard is not None and heard.at > since
+        """Whether a gateway has reported after a clock reading."""
+        report = self._reports.get(sender)
+        return report is not None and report.received_at > since
 
     def forget(self, sender: types.VmId) -> None:
-        """A gateway is gone, and with it what it had under way."""
-        heard = self._others.pop(sender, None)
-        if heard is not None:
-            self._unindex(sender, heard)
-
-    def _unindex(self, sender: types.VmId, heard: _Heard) -> None:
-        for endpoint in heard.uses:
-            found = self._at.get(endpoint, {})
+        """Drop the report of a gateway that is gone."""
+        report = self._reports.pop(sender, None)
+        if report is not None:
+            self._unindex(sender, report)
+
+    def _unindex(self, sender: types.VmId, report: _GatewayReport) -> None:
+        for endpoint in report.loads:
+            found = self._by_endpoint.get(endpoint, {})
             found.pop(sender, None)
             if not found:
-                self._at.pop(endpoint, None)
+                self._by_endpoint.pop(endpoint, None)
 
     def expire(self, now: float) -> None:
-        """Drop figures that have not been refreshed."""
-        for endpoint, at in list(self._read_at.items()):
+        """Drop reports that have not been refreshed."""
+        for endpoint, at in list(self._prefilled_at.items()):
             if now - at > KEEP_S:
-                del self._read_at[endpoint]
-        for sender, heard in list(self._others.items()):
-            if now - heard.at > KEEP_S:
+                del self._prefilled_at[endpoint]
+        for sender, report in list(self._reports.items()):
+            if now - report.received_at > KEEP_S:
                 self.forget(sender)
 
     @property
     def gateway_count(self) -> int:
-        """How many gateways tell their figures, this one included."""
-        return len(self._others) + 1
+        """The number of gateways that report, this one included."""
+        return len(self._reports) + 1
 
     def oldest_age_s(self, now: float) -> float:
-        """Age of the oldest figures that count, in seconds."""
-        ages = (now - heard.at for heard in self._others.values())
+        """Return the age of the oldest report, in seconds."""
+        ages = (now - report.received_at for report in self._reports.values())
         return max(ages, default=0.0)
 
     def waiting_ahead(
-        self, left: queue_order_mod.WaitingSummary, me: types.VmId, now: float
+        self, own: queue_order.WaitingSummary, me: types.VmId, now: float
     ) -> int:
-        """How many that wait at other gateways go before one here."""
-        mine = left.rank(0.0)
+        """Return how many generations at other gateways are ahead of `own`."""
+        own_rank = own.rank(0.0)
         count = 0
-        for sender, heard in self._others.items():
-            age = now - heard.at
-            if age > _FIRST_S:
+        for sender, report in self._reports.items():
+            age_s = now - report.received_at
+            if age_s > _WAITING_LIFETIME_S:
                 continue
-            for other in heard.first:
-                rank = other.rank(age)
-                if queue_order_mod.is_ahead(rank, sender, mine, me):
+            for other in report.waiting:
+                rank = other.rank(age_s)
+                if queue_order.is_ahead(rank, sender, own_rank, me):
                     count += 1
         return count
 
     def total(self, endpoint: types.EndpointId) -> EndpointLoad:
-        """All use of an endpoint that is known."""
-        mine = self.own.get(endpoint, EndpointLoad())
-        found = EndpointLoad(
-            requests=mine.requests,
-            prompt_tokens=mine.prompt_tokens,
-            runs=list(mine.runs),
+        """Return the load of an endpoint from all gateways."""
+        own = self.own.get(endpoint, EndpointLoad())
+        total = EndpointLoad(
+            requests=own.requests,
+            prompt_tokens=own.prompt_tokens,
+            runs=list(own.runs),
         )
-        for use in self._at.get(endpoint, {}).values():
-            found.requests += use.requests
-            found.prompt_tokens += use.prompt_tokens
-            found.runs += use.runs
-        return found
+        for load in self._by_endpoint.get(endpoint, {}).values():
+            total.requests += load.requests
+            total.prompt_tokens += load.prompt_tokens
+            total.runs += load.runs
+        return total
 
 
 def _remove(runs: list[kv_forecast.Run], run: kv_forecast.Run) -> None:
-    # Runs of equal figures are not the same run.
-    for at, item in enumerate(runs):
+    # By identity: equal runs belong to different requests.
+    for index, item in enumerate(runs):
         if item is run:
-            del runs[at]
+            del runs[index]
             return
--- a/rackpost/decide/kv_forecast.py
+++ b/rackpost/decide/kv_forecast.py
@@ -1,10 +1,10 @@
-"""How full an endpoint's KV memory will get.  Pure.
+"""Forecast the peak KV memory use of a decode endpoint.
 
-A request's memory grows with each token that it makes and is free at its
-end.  All that run at one endpoint make their tokens in step, so that the
-memory after some tokens is known from what each holds and has left.  What
-each has left is a guess; where memory runs out one run is read anew and all
-beside it pause, so that room is kept for guesses that are too short.
+A generation's KV cache grows with each token and is freed at its end.  All
+generations at an endpoint progress at the same pace, so future memory use
+follows from the tokens that each holds and is still to generate.  The latter
+are estimates, and a preemption for lack of memory pauses all generations, so
+the forecast adds a margin for their error.
 """
 
 import math
@@ -12,23 +12,20 @@
 
 import msgspec
 
-# Memory is given in blocks of some tokens; each run fills its last one in
-# part.  More than the blocks that are in use anywhere.
+# KV memory is allocated in blocks, of which each run leaves the last one
+# partly unused.  At least as large as the block of any engine in use.
 _BLOCK_TOKENS = 32
-# Room is kept for so many times what the guesses of all that run are wrong
-# by together, which grows with the root of their number.  With a half, twice
-# as many runs are preempted in a crowd; with one and a half, a third more is
-# refused where a quarter of the endpoints is gone (rackpost.testing.fleet).
+# Margin for estimation error, in standard deviations of the sum.
 _CERTAINTY = 1.0
 
 
 class Run(msgspec.Struct, array_like=True, kw_only=True):
-    """One request at a decode endpoint.
+    """A generation at a decode endpoint, in tokens.
 
     Attributes:
-        held_tokens: tokens that it holds, its prompt included.
-        remaining_tokens: tokens that it is expected to make yet.
-        error_tokens: tokens by which that is usually wrong.
+        held_tokens: tokens in its KV cache, including the prompt.
+        remaining_tokens: tokens that it is expected to generate yet.
+        error_tokens: the usual error of `remaining_tokens`.
     """
 
     held_tokens: int
@@ -37,28 +34,26 @@
 
 
 def peak_tokens(runs: Iterable[Run]) -> int:
-    """The most tokens that these runs are likely to hold at one time."""
+    """Return the peak number of tokens that the runs are likely to hold."""
     by_end = sorted(runs, key=lambda run: run.remaining_tokens)
     held = sum(run.held_tokens + _BLOCK_TOKENS for run in by_end)
-    most = held
-    for at, run in enumerate(by_end):
-        going = len(by_end) - at
-        most = max(most, held + going * run.remaining_tokens)
+    peak = held
+    for index, run in enumerate(by_end):
+        active = len(by_end) - index
+        peak = max(peak, held + active * run.remaining_tokens)
         held -= run.held_tokens + _BLOCK_TOKENS
-    off = math.sqrt(sum(run.error_tokens * run.error_tokens for run in by_end))
-    return most + int(_CERTAINTY * off)
+    error = math.sqrt(
+        sum(run.error_tokens * run.error_tokens for run in by_end)
+    )
+    return peak + int(_CERTAINTY * error)
 
 
 class Progress:
-    """One run as its events come in.
+    """Updates a run as its events arrive."""
 
-    Lengths are guesses: one that is passed is moved on by a part of what
-    the request may make at most.  `spread` is the part of an answer's rest
-    by which guesses are usually wrong.
-    """
-
-    # Part of the rest that is expected of a run past its guess.
-    _PAST_GUESS = 0.2
+    # Share of the maximum remaining length that is expected of a run that
+    # has exceeded its estimate.
+    _OVERRUN_SHARE = 0.2
 
     def __init__(
         self,
@@ -69,30 +64,38 @@
         event_tokens: int,
         spread: float = 0.0,
     ) -> None:
+        """Start a run with a prompt of `prompt` tokens.
+
+        `guess` is the estimated and `max_tokens` the maximum length of the
+        answer; `spread` is the usual error of an estimate, as a share of it.
+        """
         self._prompt = prompt
         self._guess = guess
-        self._most = max_tokens
+        self._max_tokens = max_tokens
         self._event_tokens = event_tokens
         self._spread = spread
         self.generated_tokens = 0
         self.run = Run(
             held_tokens=prompt,
             remaining_tokens=guess,
-            error_tokens=self._off(guess),
+            error_tokens=self._error_tokens(guess),
         )
 
     def record_event(self) -> None:
-        """An event has come from the endpoint."""
+        """Record that an event of the stream has arrived."""
         self.generated_tokens += self._event_tokens
-        rest = max(0, self._most - self.generated_tokens)
-        left = max(
-            self._guess - self.generated_tokens, int(self._PAST_GUESS * rest)
+        max_remaining = max(0, self._max_tokens - self.generated_tokens)
+        remaining = max(
+            self._guess - self.generated_tokens,
+            int(self._OVERRUN_SHARE * max_remaining),
         )
         self.run.held_tokens = self._prompt + self.generated_tokens
-        self.run.remaining_tokens = left
-        self.run.error_tokens = self._off(left)
+        self.run.remaining_tokens = remaining
+        self.run.error_tokens = self._error_tokens(remaining)
 
-    def _off(self, left: int) -> int:
-        """By how much a guess is usually wrong; never beyond the most."""
-        longest = max(0, self._most - self.generated_tokens - left)
-        return min(int(self._spread * left), longest)
+    def _error_tokens(self, remaining: int) -> int:
+        """Return the usual error, within the maximum answer length."""
+        max_error = max(
+            0, self._max_tokens - self.generated_tokens - remaining
+        )
+        return min(int(self._spread * remaining), max_error)
