--- a/rackpost/decide/quarantine.py
+++ b/rackpost/decide/quarantine.py
@@ -1,18 +1,18 @@
-"""Which requests are held back, since endpoints ended under them.  Pure.
+"""Decide which requests to quarantine because they crash endpoints.
 
-A request may end every endpoint that begins it, with all that runs there,
-and come again under another id, at any gateway.  What is counted is how many
-different lives of endpoints ended, or seem to have, while they ran it.  One
-such end says little: a dozen others ran there, connections are reset, and
-processes end by themselves.  So a request is held back only
+A request may crash each endpoint that starts it, with all other requests
+there, and may be repeated under another id at any gateway.  A crash is weak
+evidence against a single request: a dozen others ran there, connections are
+reset, and processes end for other reasons.  So a request is quarantined only
 
-* once `MIN_ENDED_TO_QUARANTINE` lives ended under it, and
-* unless other requests that are held back explain all but one of these, and
-* unless something cleared it: it was answered in full, an endpoint turned out
-  to be alive, an operator says so.
+* once `MIN_ENDED_TO_QUARANTINE` different incarnations of endpoints ended, or
+  seem to have ended, while they ran it, and
+* unless other quarantined requests explain all but one of these, and
+* unless the suspicions were cleared: the request was answered in full, an
+  endpoint turned out to be alive, or an operator released the request.
 
-Books that were told the same, in whatever order, hold back the same: what is
-known only grows, and a cleared suspicion stays cleared.
+Suspicions are only ever added, and a cleared one stays cleared.  So processes
+that received the same suspicions, in any order, quarantine the same requests.
 """
 
 import dataclasses
@@ -24,42 +24,37 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# Lives that may end under a request before it is held back.  Each takes some
-# twelve other runs with it; a caller that repeats once, at a gateway that
-# repeats once, meets more only if three endpoints end in one deadline.
+# Incarnations that end under a request before it is quarantined.  A request
+# that is repeated once by its caller and once by the gateway reaches this
+# only if three endpoints end within one deadline.
 MIN_ENDED_TO_QUARANTINE = 3
-# Of these, lives that no other request explains.  Two requests that end
-# endpoints may have met on one of them; whoever only ran beside one that is
-# held back shares all of its lives.
-_LEAST_OWN = 2
-# Coordinators tell all gateways, and keep on their disks, from this many
-# lives on.  Who has been told of two knows at once that the next is the third,
-# before it repeats the request itself; a loss of all power costs two endpoints
-# at most.  What broke once, by hundreds as many endpoints end, costs nothing.
+# Of these, incarnations whose end no other quarantined request explains.
+_MIN_UNEXPLAINED = 2
+# Coordinators store the suspicions of a request, and send them to all
+# gateways, from this many incarnations on.  A gateway then recognises the
+# third end before it repeats the request.
 MIN_ENDED_TO_REPORT = 2
-# How long a request is held back after the last end under it, in seconds.  A
-# release may have mended it: one endpoint an hour is no storm.
+# Duration of a quarantine after the last end, in seconds; the fault may have
+# been mended since.
 QUARANTINE_S = 3600.0
-# How long it is known, so that one more end holds it back again, in seconds.
-# What never was held back is forgotten after `QUARANTINE_S`: who ran beside
-# those that end, a dozen each time, and one endpoint an hour is no storm.
-_KNOWN_S = 24 * QUARANTINE_S
-# Requests that are known: four times a thousand that end endpoints at once,
-# some 2 MB.  The least suspected go first.
-_MOST_KNOWN = 4096
-# Part of them that goes when there are too many.
-_DROPPED = 8
-# Lives that are kept of one request, the newest; more say nothing new.
-_MOST_LIVES = 5
+# How long a quarantined request is remembered, in seconds, so that one more
+# end quarantines it again.  Others are forgotten after `QUARANTINE_S`.
+_MEMORY_S = 24 * QUARANTINE_S
+# Bounds memory to some 2 MB.
+_MAX_REQUESTS = 4096
+# One in this many requests, the least suspected, is dropped at the bound.
+_DROP_DIVISOR = 8
+# Incarnations remembered of one request, the newest.
+_MAX_SUSPICIONS = 5
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A life of an endpoint ended, as it seems, while it ran a request.
+    """An incarnation of an endpoint seems to have ended under a request.
 
     Attributes:
-        born: which life of the endpoint it was.
-        ran_ms: how long the request had been there, in milliseconds.
-        cleared: something has shown that the request did not end it.
+        born: start time that identifies the incarnation.
+        ran_ms: how long the request had run there, in milliseconds.
+        cleared: the request is known not to be the cause.
     """
 
     request: types.Fingerprint
@@ -70,12 +65,12 @@
 
     @property
     def incarnation(self) -> endpoints.Incarnation:
-        """The life that ended."""
+        """The incarnation that ended."""
         return endpoints.Incarnation(self.endpoint, self.born)
 
 
 class QuarantinedRequest(NamedTuple):
-    """A request that is held back, for `remaining_s` seconds more."""
+    """A request in quarantine for another `remaining_s` seconds."""
 
     request: types.Fingerprint
     incarnations: tuple[endpoints.Incarnation, ...]
@@ -84,7 +79,7 @@
 
 @dataclasses.dataclass
 class _Record:
-    """What is known of one request; `at` is when a life ended last."""
+    """The suspicions against a request; `at` is when the last one arose."""
 
     at: float
     suspicions: dict[endpoints.Incarnation, Suspicion] = dataclasses.field(
@@ -92,131 +87,139 @@
     )
 
     @property
-    def open(self) -> list[Suspicion]:
-        """Those that nothing has cleared."""
-        return [one for one in self.suspicions.values() if not one.cleared]
+    def uncleared(self) -> list[Suspicion]:
+        """The suspicions that are not cleared."""
+        return [item for item in self.suspicions.values() if not item.cleared]
 
-    def take(self, new: Suspicion, now: float) -> bool:
-        """Take a suspicion; whether it changed anything."""
+    def add(self, new: Suspicion, now: float) -> bool:
+        """Add a suspicion; return whether it changed anything."""
         old = self.suspicions.get(new.incarnation)
         if old is not None and (old.cleared or not new.cleared):
             return False
         if old is None and not new.cleared:
             self.at = now
         self.suspicions[new.incarnation] = new
-        while len(self.suspicions) > _MOST_LIVES:
+        while len(self.suspicions) > _MAX_SUSPICIONS:
             del self.suspicions[next(iter(self.suspicions))]
         return True
 
     @property
-    def order(self) -> tuple[float, float]:
-        """Whom to blame first: most lives, then ended them soonest.
+    def blame_order(self) -> tuple[float, float]:
+        """Sort key: most incarnations first, then the shortest run time.
 
-        Who ends endpoints does so as it begins; who only ran there had been
-        there for any time.
+        A request that crashes endpoints does so soon after its start; others
+        had run there for any time.
         """
-        found = self.open
-        ran_ms = sum(one.ran_ms for one in found) / max(1, len(found))
+        found = self.uncleared
+        ran_ms = sum(item.ran_ms for item in found) / max(1, len(found))
         return (-len(found), ran_ms)
 
 
 class Quarantine:
-    """What one process knows of requests under which endpoints ended."""
+    """The suspicions that one process knows, and the quarantined requests."""
 
     def __init__(self) -> None:
         self._records: dict[types.Fingerprint, _Record] = {}
-        # Those with enough lives to be held back.
-        self._many: set[types.Fingerprint] = set()
-        self._guilty: frozenset[types.Fingerprint] = frozenset()
-        self._judged = True
+        # Requests with enough incarnations to be quarantined.
+        self._suspects: set[types.Fingerprint] = set()
+        self._blamed: frozenset[types.Fingerprint] = frozenset()
+        self._is_current = True
 
     def __len__(self) -> int:
-        """How many requests are known."""
+        """Return the number of requests with suspicions."""
         return len(self._records)
 
     def add(
         self, items: Iterable[Suspicion], now: float
     ) -> set[types.Fingerprint]:
-        """Take suspicions; the requests of which something was news."""
+        """Add suspicions; return the requests for which something changed."""
         changed = set()
         for item in items:
             record = self._records.get(item.request)
             if record is None:
                 record = self._records[item.request] = _Record(at=now)
-            if record.take(item, now):
+            if record.add(item, now):
                 changed.add(item.request)
         for request in changed:
-            self._recount(request)
-        if len(self._records) > _MOST_KNOWN:
-            self._drop_least()
+            self._update_suspect(request)
+        if len(self._records) > _MAX_REQUESTS:
+            self._drop_least_suspected()
         return changed
 
-    def _recount(self, request: types.Fingerprint) -> None:
-        has_many = len(self._records[request].open) >= MIN_ENDED_TO_QUARANTINE
-        if has_many or request in self._many:
-            self._judged = False
-        if has_many:
-            self._many.add(request)
+    def _update_suspect(self, request: types.Fingerprint) -> None:
+        is_suspect = (
+            len(self._records[request].uncleared) >= MIN_ENDED_TO_QUARANTINE
+        )
+        if is_suspect or request in self._suspects:
+            self._is_current = False
+        if is_suspect:
+            self._suspects.add(request)
         else:
-            self._many.discard(request)
+            self._suspects.discard(request)
 
-    def _drop_least(self) -> None:
-        """Forget those with the fewest lives, the oldest of them first."""
+    def _drop_least_suspected(self) -> None:
+        """Drop requests with the fewest suspicions, the oldest first."""
         by_weight = sorted(
             self._records.items(),
-            key=lambda pair: (len(pair[1].open), pair[1].at),
+            key=lambda pair: (len(pair[1].uncleared), pair[1].at),
         )
-        for request, _ in by_weight[: len(by_weight) // _DROPPED]:
+        for request, _ in by_weight[: len(by_weight) // _DROP_DIVISOR]:
             self._drop(request)
 
     def _drop(self, request: types.Fingerprint) -> None:
         del self._records[request]
-        self._many.discard(request)
-        self._judged = False
+        self._suspects.discard(request)
+        self._is_current = False
 
-    def _judge(self) -> frozenset[types.Fingerprint]:
-        """The requests to blame, each for lives that others don't explain."""
-        if not self._judged:
-            guilty = set()
+    def _blamed_requests(self) -> frozenset[types.Fingerprint]:
+        """Return the requests to blame for ends that others don't explain."""
+        if not self._is_current:
+            blamed = set()
             explained: set[endpoints.Incarnation] = set()
             for request in sorted(
-                self._many, key=lambda one: (self._records[one].order, one)
+                self._suspects,
+                key=lambda item: (self._records[item].blame_order, item),
             ):
-                lives = {
-                    one.incarnation for one in self._records[request].open
+                incarnations = {
+                    item.incarnation
+                    for item in self._records[request].uncleared
                 }
-                if len(lives - explained) >= _LEAST_OWN:
-                    guilty.add(request)
-                    explained |= lives
-            self._guilty = frozenset(guilty)
-            self._judged = True
-        return self._guilty
+                if len(incarnations - explained) >= _MIN_UNEXPLAINED:
+                    blamed.add(request)
+                    explained |= incarnations
+            self._blamed = frozenset(blamed)
+            self._is_current = True
+        return self._blamed
 
     def may_hold_any(self) -> bool:
-        """Whether anything may be held back at all."""
-        return bool(self._many)
+        """Whether any request may be in quarantine; cheap to call."""
+        return bool(self._suspects)
 
     def remaining_s(self, request: types.Fingerprint, now: float) -> float:
-        """How much longer a request is held back, in seconds; 0 if not."""
-        if request not in self._many or request not in self._judge():
+        """Return the rest of a request's quarantine, in seconds, or 0."""
+        if (
+            request not in self._suspects
+            or request not in self._blamed_requests()
+        ):
             return 0.0
         return max(0.0, self._records[request].at + QUARANTINE_S - now)
 
     def is_quarantined(self, request: types.Fingerprint, now: float) -> bool:
-        """Whether a request is held back."""
+        """Whether a request is in quarantine."""
         return self.remaining_s(request, now) > 0.0
 
     def quarantined(self, now: float) -> list[QuarantinedRequest]:
-        """All that are held back, the newest last."""
+        """Return all requests in quarantine, the newest last."""
         found = [
             QuarantinedRequest(
                 request=request,
                 incarnations=tuple(
-                    one.incarnation for one in self._records[request].open
+                    suspicion.incarnation
+                    for suspicion in self._records[request].uncleared
                 ),
                 remaining_s=self.remaining_s(request, now),
             )
-            for request in self._judge()
+            for request in self._blamed_requests()
         ]
         found = [item for item in found if item.remaining_s > 0.0]
         return sorted(found, key=lambda item: item.remaining_s)
@@ -224,38 +227,43 @@
     def suspicions_of(
         self, request: types.Fingerprint
     ) -> tuple[Suspicion, ...]:
-        """All that is known of a request."""
+        """Return all suspicions against a request."""
         record = self._records.get(request)
         return () if record is None else tuple(record.suspicions.values())
 
     def ended_endpoints(
         self, request: types.Fingerprint
     ) -> list[types.EndpointId]:
-        """The endpoints whose lives count against a request."""
+        """Return the endpoints of uncleared suspicions against a request."""
         record = self._records.get(request)
-        return [] if record is None else [one.endpoint for one in record.open]
+        return (
+            []
+            if record is None
+            else [item.endpoint for item in record.uncleared]
+        )
 
     def suspicions(self, min_ended: int) -> tuple[Suspicion, ...]:
-        """All of the requests against which at least so many lives count."""
+        """Return the suspicions of requests with `min_ended` or more."""
         return tuple(
             item
             for record in self._records.values()
-            if len(record.open) >= min_ended
+            if len(record.uncleared) >= min_ended
             for item in record.suspicions.values()
         )
 
     def clearances(self, request: types.Fingerprint) -> tuple[Suspicion, ...]:
-        """What clears a request of all that counts against it; to take."""
+        """Return what clears a request when it is added."""
         record = self._records.get(request)
         if record is None:
             return ()
         return tuple(
-            msgspec.structs.replace(one, cleared=True) for one in record.open
+            msgspec.structs.replace(item, cleared=True)
+            for item in record.uncleared
         )
 
     def forget(self, now: float) -> None:
-        """Forget requests under which nothing has ended for long."""
+        """Drop requests whose last suspicion is old enough."""
         for request, record in list(self._records.items()):
-            known_s = _KNOWN_S if request in self._many else QUARANTINE_S
-            if now - record.at > known_s:
+            memory_s = _MEMORY_S if request in self._suspects else QUARANTINE_S
+            if now - record.at > memory_s:
                 self._drop(request)
