--- a/rackpost/decide/quota.py
+++ b/rackpost/decide/quota.py
@@ -1,8 +1,9 @@
-"""What organisations may still ask for, over all gateways.  Pure.
+"""Interface of the quotas that organisations have over all gateways.
 
-What an organisation has spent in any window, at all gateways together, must
-stay below its limit.  Each gateway admits by itself, before anything is
-read, with what it knows of the others; docs/design/quotas.md weighs the ways.
+What an organisation spends in any window, at all gateways together, stays
+below its limit.  Each gateway decides by itself, before it reads a request's
+body, with what it knows of the others' spending.  docs/design/quotas.md
+compares the alternatives.
 """
 
 import abc
@@ -14,10 +15,9 @@
 from rackpost.routing import model
 from rackpost import types
 
-# The parts of the slack and of the overshoot that are given out; the rest is
-# for what gateways have not heard of each other yet (figures are told within
-# 10 ms of a change), for figures that are lost, and for what all have
-# forgotten after a restart.  Those grow with the rate, as the overshoot does.
+# Shares of the slack and of the overshoot that gateways admit.  The rest
+# covers spending that gateways have not reported to each other yet, lost
+# reports, and spending that is forgotten when all gateways restart.
 _SLACK_USED = 0.7
 _OVERSHOOT_USED = 0.9
 
@@ -26,9 +26,9 @@
     """How a site counts quotas.
 
     Attributes:
-        window_s: the length of any span that is counted.
-        overshoot: part of a limit that may be spent beyond it.
-        slack: units that may be spent beyond that.
+        window_s: length of the window over which spending is limited.
+        overshoot: share of a limit that may be spent beyond it.
+        slack: units that may be spent beyond the overshoot.
     """
 
     window_s: float = 8.0
@@ -36,26 +36,27 @@
     slack: float = 0.0
 
     def limit(self, quota: model.Quota) -> float:
-        """What is surely the organisation's own within a window."""
+        """Return the units that an organisation is entitled to in a window."""
         return quota.rate_per_s * self.window_s + quota.burst
 
     def bound(self, quota: model.Quota) -> float:
-        """The most that is admitted within a window.
+        """Return the most units that are admitted in a window.
 
-        Refusing at the limit itself would lose what it may have: requests
-        come by chance, and a large one is half a second of a small rate.
+        It is above the limit, since refusing at the limit would deny units
+        that the organisation is entitled to: requests are large in relation
+        to a small rate and arrive at random.
         """
-        most = self.limit(quota) * (1.0 + _OVERSHOOT_USED * self.overshoot)
-        return most + _SLACK_USED * self.slack
+        bound = self.limit(quota) * (1.0 + _OVERSHOOT_USED * self.overshoot)
+        return bound + _SLACK_USED * self.slack
 
     @property
     def reserve(self) -> float:
-        """The part of the slack that is not given out."""
+        """The part of the slack that is not admitted."""
         return (1.0 - _SLACK_USED) * self.slack
 
 
 class OverQuota(NamedTuple):
-    """Over the limit; there is room after so long, in seconds."""
+    """A refusal; the quota has capacity again in `retry_after_s` seconds."""
 
     retry_after_s: float
     used: float
@@ -63,21 +64,21 @@
 
 
 def request_units(quota: model.Quota, tokens: int | None) -> int:
-    """What a request counts; `tokens` are all that it names, if it does."""
+    """Return the units of a request that declares `tokens`, or none."""
     if quota.by_tokens and tokens is not None:
         return tokens
     return quota.plain_units
 
 
 class QuotaReport(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What a gateway tells others of what its clients have spent.
+    """What a gateway reports to the others about its spending.
 
     Attributes:
-        uptime_s: how long it has run, in seconds.
-        is_complete: everything is told, not only what has changed.
-        spent: units since its start, by organisation.
+        uptime_s: time since the gateway's start, in seconds.
+        is_complete: the report has all figures, not only changed ones.
+        spent: units since the gateway's start, by organisation.
         waiting: units that are admitted and not sent yet.
-        levels: what is left where it is not all, when everything is told.
+        levels: levels of buckets that are not full, in a complete report.
     """
 
     uptime_s: int = 0
@@ -87,12 +88,12 @@
     levels: dict[types.OrganisationName, int] = {}
 
 
-# The limit of an organisation in the document in force, if it has one.
+# Returns an organisation's quota in the current routing document, or None.
 LimitOf = Callable[[types.OrganisationName], model.Quota | None]
 
 
 class Quotas(abc.ABC):
-    """Decides on what organisations ask for at one gateway."""
+    """Admits requests of organisations at one gateway."""
 
     def __init__(
         self, *, terms: QuotaSettings, began: float, limit_of: LimitOf
@@ -107,31 +108,31 @@
     def check(
         self, item: model.Organisation, wanted: int, now: float
     ) -> OverQuota | None:
-        """None where a request of so many units may pass."""
+        """Return None if a request of `wanted` units may be admitted."""
 
     @abc.abstractmethod
     def admit(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """A request is admitted here, and waits to be sent."""
+        """Record that a request is admitted and waits to be sent."""
 
     @abc.abstractmethod
     def record_sent(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """One that was admitted is sent to an endpoint."""
+        """Record that an admitted request is sent to an endpoint."""
 
     @abc.abstractmethod
     def record_not_run(
         self, name: types.OrganisationName, units: int, at: float, now: float
     ) -> None:
-        """What was sent at a reading has not run: it waits again."""
+        """Record that a request sent at `at` did not run and waits again."""
 
     @abc.abstractmethod
     def cancel(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """One that waits is not sent any more."""
+        """Record that an admitted request will not be sent."""
 
     def receive(
         self,
@@ -140,15 +141,15 @@
         report: QuotaReport,
         now: float,
     ) -> bool:
-        """Take another gateway's word; whether it has just begun to tell.
+        """Take in another gateway's report.
 
-        `incarnation` differs after a restart.  A newcomer is told everything
-        next.
+        Return whether it is the first one of that incarnation.  The next
+        report of this gateway is then complete.
         """
         return False
 
     def next_report(self, now: float) -> QuotaReport:
-        """What others should know."""
+        """Return what to report to the other gateways."""
         return QuotaReport()
 
     def forget(self, now: float) -> None:
--- a/rackpost/decide/quota_use.py
+++ b/rackpost/decide/quota_use.py
@@ -1,6 +1,6 @@
-"""What organisations have used of their quotas at one gateway.  Pure.
+"""Track how organisations use their quotas at one gateway.
 
-For operators: decisions rest on `quota_buckets`.
+The figures are for operators; `quota_buckets` decides what is admitted.
 """
 
 import collections
@@ -9,17 +9,13 @@
 
 from rackpost import types
 
-# Organisations that are told one by one; the rest are told together, so
-# that it costs the same whatever their number is.
-_MOST_TOLD = 20
+# Bounds the size of a report; further organisations are added up.
+_MAX_REPORTED = 20
 OTHERS = types.OrganisationName("(others)")
 
 
 class QuotaUse(NamedTuple):
-    """What an organisation did within the window.
-
-    `units` were admitted, `record_refused` requests were over its quota.
-    """
+    """Units admitted and requests refused for an organisation in a window."""
 
     organisation: types.OrganisationName
     units: int
@@ -27,7 +23,7 @@
 
 
 class _Event(NamedTuple):
-    """A request that was admitted, or refused."""
+    """A request that was admitted or refused."""
 
     at: float
     organisation: types.OrganisationName
@@ -45,15 +41,15 @@
     def record_admitted(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """A request may pass."""
+        """Record an admitted request."""
         self._events.append(_Event(now, name, units, 0))
 
     def record_refused(self, name: types.OrganisationName, now: float) -> None:
-        """A request was over the quota."""
+        """Record a request that was refused as over quota."""
         self._events.append(_Event(now, name, 0, 1))
 
     def recent(self, now: float) -> tuple[QuotaUse, ...]:
-        """The organisations that used most, and the rest together."""
+        """Return the use of the largest organisations, and of all others."""
         before = now - self._window_s
         while self._events and self._events[0].at <= before:
             self._events.popleft()
@@ -64,7 +60,10 @@
 
 
 def largest(uses: Iterable[QuotaUse]) -> tuple[QuotaUse, ...]:
-    """Uses added up by organisation, the largest first."""
+    """Return uses added up by organisation, the largest first.
+
+    Organisations beyond the largest are added up as `OTHERS`.
+    """
     units: collections.Counter[types.OrganisationName]
     units = collections.Counter()
     refused: collections.Counter[types.OrganisationName]
@@ -74,7 +73,7 @@
         refused[item.organisation] += item.refused
     found = [QuotaUse(name, units[name], refused[name]) for name in units]
     found.sort(key=lambda item: (item.organisation == OTHERS, -item.units))
-    rest = found[_MOST_TOLD:]
+    rest = found[_MAX_REPORTED:]
     if not rest:
         return tuple(found)
     others = QuotaUse(
@@ -82,4 +81,4 @@
         sum(item.units for item in rest),
         sum(item.refused for item in rest),
     )
-    return (*found[:_MOST_TOLD], others)
+    return (*found[:_MAX_REPORTED], others)
