--- a/rackpost/decide/endpoint_rates.py
+++ b/rackpost/decide/endpoint_rates.py
@@ -1,15 +1,14 @@
-"""Which endpoints name a rate that they take from all gateways.  Pure.
+"""Track the request rates that endpoints announce.
 
-An endpoint in need says in its answers how many requests a second it takes
-from all gateways together, for as long as it says so.  What one life of an
-endpoint names binds that life: who starts again has named nothing.
+An endpoint short of capacity announces in its answers how many requests a
+second it accepts from all gateways together.  A rate applies to the
+incarnation that announced it.
 
-An answer tells what held when its head was written.  Heads are noted as they
-come, so that of two answers the later one holds; between gateways the age of
-what is told decides.
+Rates are recorded when the head of an answer arrives, so the later of two
+answers applies.  Between gateways the age of the information decides.
 
-One answer without a rate is not yet its end: an endpoint may name it in some
-answers and not in others.
+A rate ends only after several answers without one, since an endpoint may
+announce it in some answers and not in others.
 """
 
 import math
@@ -21,22 +20,22 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# Answers in a row that name no rate and show that it has ended.
-_ENDS_AFTER = 3
-# One such answer shows it where nothing has named the rate for so long, in
-# seconds: at a low rate three answers would take as many times longer.
-_ENDS_AFTER_S = 4.0
-# Others are told everything this often, in seconds, and of no more lives of
-# endpoints at a time, of 40 bytes each.
-_WHOLE_S = 0.9
-_MOST_TOLD = 64
+# Answers in a row without a rate that end it.
+_ANSWERS_TO_END = 3
+# A single such answer ends a rate that was announced longer ago than this: at
+# a low rate, several answers take long.
+_SINGLE_ANSWER_ENDS_AFTER_S = 4.0
+# All rates are reported to other gateways at this interval.
+_COMPLETE_INTERVAL_S = 0.9
+# Bounds a report to one datagram, at 40 bytes for each rate.
+_MAX_REPORTED = 64
 
 
 class AnswerRate(NamedTuple):
-    """What an answer says of a rate.
+    """The rate that one answer announces.
 
-    `per_s` is the rate in requests a second, None where it names none;
-    `unreadable` tells that it names one that can't be read.
+    `per_s` is in requests a second, None without a rate; `unreadable` means
+    that the answer has a rate that cannot be parsed.
     """
 
     per_s: float | None = None
@@ -44,10 +43,10 @@
 
 
 class RateUpdate(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What one process tells another of an endpoint's rate.
+    """An endpoint's rate, as one gateway reports it to another.
 
-    `per_s` is None where the rate has ended, `age_s` how long ago an answer
-    said so, in seconds.
+    `per_s` is None where the rate has ended; `age_s` is the time since the
+    answer that announced or ended it, in seconds.
     """
 
     endpoint: types.EndpointId
@@ -57,72 +56,77 @@
 
     @property
     def incarnation(self) -> endpoints.Incarnation:
-        """The life of the endpoint that it is about."""
+        """The incarnation of the endpoint."""
         return endpoints.Incarnation(self.endpoint, self.born)
 
 
 class _Record(msgspec.Struct, kw_only=True):
-    """What one life of an endpoint says.
+    """The rate of one incarnation of an endpoint.
 
     Attributes:
         per_s: the rate in requests a second; None where it has ended.
-        since: clock reading at which it became known here to name one.
-        at: clock reading at which an answer last said so, here or elsewhere.
-        without: answers in a row since then that named none.
+        since: clock reading at which this gateway first knew of a rate.
+        at: clock reading of the answer that announced or ended the rate,
+            here or at another gateway.
+        answers_without: answers in a row since then without a rate.
     """
 
     per_s: float | None
     since: float
     at: float
-    without: int = 0
+    answers_without: int = 0
 
 
 class RateTable:
-    """The rates that endpoints name, as one process knows them."""
+    """The announced rates that one process knows."""
 
     def __init__(self) -> None:
         self._records: dict[endpoints.Incarnation, _Record] = {}
-        # Lives that have named one that can't be read.
+        # Incarnations that have announced an unreadable rate.
         self._unreadable: set[endpoints.Incarnation] = set()
-        # What has changed since others were told, and when they were told all.
+        # Changes since the last report, and when all rates were reported.
         self._changed: dict[endpoints.Incarnation, None] = {}
-        self._whole_at = -math.inf
+        self._complete_at = -math.inf
 
     def per_s(self, endpoint: endpoints.Endpoint) -> float | None:
-        """The rate that holds now, in requests a second; None without."""
+        """Return the current rate in requests a second, or None."""
         if not self._records:
-            # As a rule; asked for each endpoint in each choice.
+            # The common case; called for each endpoint in each choice.
             return None
         record = self._records.get(endpoint.incarnation)
         return None if record is None else record.per_s
 
     def record_unreadable(self, endpoint: endpoints.Endpoint) -> bool:
-        """Note one that can't be read; whether it is this life's first."""
+        """Record an unreadable rate; return whether it is the first one."""
         is_first = endpoint.incarnation not in self._unreadable
         self._unreadable.add(endpoint.incarnation)
         return is_first
 
     def record_answer(
-        self, endpoint: endpoints.Endpoint, named: AnswerRate, now: float
+        self, endpoint: endpoints.Endpoint, announced: AnswerRate, now: float
     ) -> bool:
-        """Note what an answer's head names; whether the rate has changed.
+        """Record the rate in an answer's head; return whether it changed.
 
-        What can't be read changes nothing.
+        An unreadable rate is ignored.
         """
-        if named.unreadable:
+        if announced.unreadable:
             return False
         record = self._records.get(endpoint.incarnation)
-        if named.per_s is None:
-            has_ended = record is not None and self._named_none(record, now)
+        if announced.per_s is None:
+            has_ended = record is not None and self._record_without(
+                record, now
+            )
             if has_ended:
                 self._changed[endpoint.incarnation] = None
             return has_ended
-        if not self._put(endpoint.incarnation, named.per_s, at=now, now=now):
+        if not self._set(
+            endpoint.incarnation, announced.per_s, at=now, now=now
+        ):
             return False
         self._changed[endpoint.incarnation] = None
         return True
 
-    def _put(
+    def _set(
         self,
         key: endpoints.Incarnation,
         per_s: float | None,
@@ -130,7 +134,7 @@
         at: float,
         now: float,
     ) -> bool:
-        """Keep what was said at a clock reading; whether it is news."""
+        """Set the rate known at a clock reading; return whether it changed."""
         record = self._records.get(key)
         before = None if record is None else record.per_s
         since = now if record is None or before is None else record.since
@@ -138,49 +142,53 @@
         return before != per_s
 
     def since(self, key: endpoints.Incarnation) -> float:
-        """Clock reading since which it is known to name a rate."""
+        """Return the clock reading since which a rate is known here."""
         return self._records[key].since
 
-    def _named_none(self, record: _Record, now: float) -> bool:
+    def _record_without(self, record: _Record, now: float) -> bool:
+        """Record an answer without a rate; return whether it ends the rate."""
         if record.per_s is None:
             return False
-        record.without += 1
-        is_old = now - record.at >= _ENDS_AFTER_S
-        if record.without < _ENDS_AFTER and not is_old:
+        record.answers_without += 1
+        is_old = now - record.at >= _SINGLE_ANSWER_ENDS_AFTER_S
+        if record.answers_without < _ANSWERS_TO_END and not is_old:
             return False
         record.per_s = None
         record.at = now
         return True
 
-    def receive(self, told: RateUpdate, now: float) -> bool:
-        """Take another process's word, if it is later; whether it is news."""
-        at = now - told.age_s
-        key = told.incarnation
+    def receive(self, update: RateUpdate, now: float) -> bool:
+        """Take in another process's update, if it is later than what is known.
+
+        Return whether the rate changed.
+        """
+        at = now - update.age_s
+        key = update.incarnation
         record = self._records.get(key)
         if record is not None and record.at >= at:
             return False
-        if record is None and told.per_s is None:
+        if record is None and update.per_s is None:
             return False
-        return self._put(key, told.per_s, at=at, now=now)
+        return self._set(key, update.per_s, at=at, now=now)
 
     def next_updates(self, now: float) -> tuple[RateUpdate, ...]:
-        """What others should know: what has changed since, or all of it.
+        """Return the changes to report, or periodically all rates.
 
-        All once in `_WHOLE_S`, so that a word that was lost is made good.
+        All rates are reported at an interval in case a report was lost.
         """
         keys = [key for key in self._changed if key in self._records]
         self._changed.clear()
-        if now >= self._whole_at + _WHOLE_S:
-            self._whole_at = now
+        if now >= self._complete_at + _COMPLETE_INTERVAL_S:
+            self._complete_at = now
             keys = list(self._records)
-        del keys[_MOST_TOLD:]
+        del keys[_MAX_REPORTED:]
         for key in keys:
-            # Those that are told go last the next time.
+            # Move to the end, so that the next report starts with others.
             self._records[key] = self._records.pop(key)
         return tuple(self.update_for(key, now) for key in keys)
 
     def update_for(self, key: endpoints.Incarnation, now: float) -> RateUpdate:
-        """What others should know of one endpoint."""
+        """Return the update to report for one incarnation."""
         record = self._records.get(key)
         return RateUpdate(
             endpoint=key.id,
@@ -190,7 +198,7 @@
         )
 
     def retain(self, alive: Collection[endpoints.Incarnation]) -> None:
-        """Forget all lives of endpoints but these."""
+        """Drop all incarnations but these."""
         for key in list(self._records):
             if key not in alive:
                 del self._records[key]
@@ -198,5 +206,5 @@
 
     @property
     def incarnations(self) -> tuple[endpoints.Incarnation, ...]:
-        """The lives of endpoints that have named a rate."""
+        """The incarnations that have announced a rate."""
         return tuple(self._records)
--- a/rackpost/decide/rate_gate.py
+++ b/rackpost/decide/rate_gate.py
@@ -1,8 +1,8 @@
-"""When a gateway may ask for a grant of an endpoint's rate.  Pure.
+"""Decide when a gateway may request a grant of an endpoint's rate.
 
-An endpoint that names a rate has the least under way and looks the best to
-every choice.  So it is not chosen while its owner has said that nothing may
-be granted, nor while a grant for a request from here is being asked for.
+An endpoint that announces a rate has few requests in flight and would look
+like the best choice.  So it is not selected until the owner of its rate may
+grant a request, nor while this gateway has a grant request pending.
 """
 
 import msgspec
@@ -11,61 +11,62 @@
 from rackpost.decide import rate_grants
 from rackpost.routing import endpoints
 
-# A request for which an endpoint was chosen asks for its grant within this,
-# in seconds; it may have ended before.
-_ASKS_WITHIN_S = 0.1
-# An owner that does not answer is asked again after this, in seconds.
-_UNANSWERED_S = 0.25
-# An owner that turns away is not asked again sooner than this, in seconds.
-_SOONEST_S = 0.02
+# A selected endpoint counts as having a grant request pending for this long;
+# the request may have ended before it was sent.
+_PENDING_S = 0.1
+# Delay before a further grant request to an owner that did not answer.
+_NO_ANSWER_DELAY_S = 0.25
+# Shortest delay before a further grant request to an owner that denied one.
+_MIN_DELAY_S = 0.02
 
 
 class _Record(msgspec.Struct, kw_only=True):
-    """What is known of one life of an endpoint.
+    """Grant requests for one incarnation of an endpoint.
 
     Attributes:
-        opens: clock reading at which a grant may be asked for again.
-        asking_until: until when one that was chosen may be asking for it.
+        available_at: clock reading from which a grant may be requested.
+        pending_until: clock reading until which a grant request may be
+            pending.
         contenders: gateways that wait for a grant, this one included.
     """
 
-    opens: float = 0.0
-    asking_until: float = 0.0
+    available_at: float = 0.0
+    pending_until: float = 0.0
     contenders: int = 1
 
 
 class RateGate:
-    """What one gateway knows of others' grants."""
+    """When one gateway may request grants, by endpoint."""
 
     def __init__(self, *, rates: endpoint_rates.RateTable) -> None:
-        self._book = rates
+        self._rates = rates
         self._records: dict[endpoints.Incarnation, _Record] = {}
 
     def _record(self, endpoint: endpoints.Endpoint) -> _Record:
         return self._records.setdefault(endpoint.incarnation, _Record())
 
     def may_select(self, endpoint: endpoints.Endpoint, now: float) -> bool:
-        """Whether a request may be meant for an endpoint now."""
-        if self._book.per_s(endpoint) is None:
+        """Whether the endpoint may be selected for a request now."""
+        if self._rates.per_s(endpoint) is None:
             return True
         record = self._records.get(endpoint.incarnation)
         if record is None:
             return True
-        return now >= record.opens and now >= record.asking_until
+        return now >= record.available_at and now >= record.pending_until
 
     def available_at(self, endpoint: endpoints.Endpoint) -> float:
-        """Clock reading at which a grant may be asked for again."""
-        if self._book.per_s(endpoint) is None:
+        """Return the clock reading from which a grant may be requested."""
+        if self._rates.per_s(endpoint) is None:
             return 0.0
         record = self._records.get(endpoint.incarnation)
-        return 0.0 if record is None else record.opens
+        return 0.0 if record is None else record.available_at
 
     def own_rate_per_s(self, endpoint: endpoints.Endpoint) -> float | None:
-        """The part of its rate that is this gateway's, as far as is known.
+        """Return this gateway's estimated share of the endpoint's rate.
 
-        In requests a second; None where it names no rate.
+        In requests a second; None if the endpoint announces no rate.
         """
-        per_s = self._book.per_s(endpoint)
+        per_s = self._rates.per_s(endpoint)
         if per_s is None:
             return None
         record = self._records.get(endpoint.incarnation)
@@ -75,34 +76,34 @@
     def record_selection(
         self, endpoint: endpoints.Endpoint, now: float
     ) -> None:
-        """A request is meant for it, and asks for a grant soon."""
-        if self._book.per_s(endpoint) is not None:
-            self._record(endpoint).asking_until = now + _ASKS_WITHIN_S
+        """Record a selection, which a grant request follows."""
+        if self._rates.per_s(endpoint) is not None:
+            self._record(endpoint).pending_until = now + _PENDING_S
 
     def record_decision(
         self,
         endpoint: endpoints.Endpoint,
-        verdict: rate_grants.GrantDecision,
+        decision: rate_grants.GrantDecision,
         now: float,
     ) -> None:
-        """Its owner has answered."""
+        """Record the owner's answer to a grant request."""
         record = self._record(endpoint)
-        record.asking_until = 0.0
-        record.contenders = verdict.contenders
-        if not verdict.granted:
-            record.opens = now + max(verdict.wait_s, _SOONEST_S)
+        record.pending_until = 0.0
+        record.contenders = decision.contenders
+        if not decision.granted:
+            record.available_at = now + max(decision.wait_s, _MIN_DELAY_S)
 
     def record_no_answer(
         self, endpoint: endpoints.Endpoint, now: float
     ) -> None:
-        """Its owner does not answer."""
+        """Record that the owner did not answer a grant request."""
         record = self._record(endpoint)
-        record.asking_until = 0.0
-        record.opens = now + _UNANSWERED_S
+        record.pending_until = 0.0
+        record.available_at = now + _NO_ANSWER_DELAY_S
 
     def forget(self) -> None:
-        """Forget lives of endpoints that name no rate any more."""
-        known = self._book.incarnations
+        """Drop incarnations that are not in the rate table any more."""
+        known = self._rates.incarnations
         for key in list(self._records):
             if key not in known:
                 del self._records[key]
--- a/rackpost/decide/rate_grants.py
+++ b/rackpost/decide/rate_grants.py
@@ -1,14 +1,13 @@
-"""Who may send a request to an endpoint that names a rate.  Pure.
+"""Grant requests to endpoints that announce a rate.
 
-Such a rate binds all gateways together.  What each kept by itself would be
-that many times the rate, and what each hears of the others is some
-milliseconds old, in which each would send.  So one gateway owns an
-endpoint's rate and grants each request by itself: nothing is sent there
-without a grant, so that a lost message costs a request and never lets one
-more through.
+An announced rate limits all gateways together.  Independent limits, or limits
+based on other gateways' delayed reports, would let each gateway send at the
+full rate.  So one gateway owns an endpoint's rate and grants each request;
+nothing is sent without a grant.  A lost message therefore delays a request
+and never causes an extra one.
 
-Owners are found by rendezvous hashing.  While gateways do not agree on one,
-each grants the part of the rate of those that it hears.
+Owners are assigned by rendezvous hashing.  While gateways disagree on the
+owner, each of them grants the share of the rate of the gateways it reaches.
 """
 
 import random
@@ -20,40 +19,39 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# Requests that still go to an endpoint that takes fewer or none, a second:
-# its answers are how anybody hears that it takes more again.
+# Lowest rate that is granted, in requests a second: without any requests no
+# answer could announce a higher rate.
 MIN_RATE_PER_S = 0.25
-# What is not asked for is kept for this long, in seconds of the rate, and one
-# request besides.
-_KEPT_S = 0.25
-# For a more urgent request that was told when to come back, and does not, a
-# grant is kept no longer than this, in seconds: it may have ended.
-_GRACE_S = 0.25
-# Those that were turned away do not all come back in one moment: each within
-# the time in which all of them could be served, and this at most, in seconds.
-_MOST_SPREAD_S = 4.0
+# Unused rate accumulates for this long, in addition to one request.
+_BURST_S = 0.25
+# How long after its retry time a grant stays reserved for a gateway whose
+# more urgent request was denied, in seconds.
+_RESERVATION_GRACE_S = 0.25
+# Bounds the random delay that spreads the retries of denied gateways over the
+# time in which all can be granted.
+_MAX_SPREAD_S = 4.0
 
 
 def usable_per_s(per_s: float) -> float:
-    """Requests a second that may go to an endpoint that names a rate."""
+    """Return the requests a second that are granted at an announced rate."""
     return max(per_s, MIN_RATE_PER_S)
 
 
 def owner(
     endpoint: types.EndpointId, gateways: Iterable[types.VmId]
 ) -> types.VmId:
-    """The gateway that grants requests to an endpoint."""
+    """Return the gateway that grants requests to an endpoint."""
     return max(gateways, key=lambda vm: rendezvous.rank(vm, endpoint))
 
 
 class GrantApplicant(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True
 ):
-    """What a gateway asks for: to send one request.
+    """A gateway that requests a grant to send one request.
 
     Attributes:
-        priority: of the request, 0 goes first.
-        is_waiting: whether it waits, since no other endpoint is left for it.
+        priority: priority of the request; 0 is the most urgent.
+        is_waiting: the request waits, since no other endpoint is available.
     """
 
     vm: types.VmId
@@ -64,13 +62,12 @@
 class GrantDecision(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True
 ):
-    """What the owner answers.
+    """The owner's answer to a grant request.
 
     Attributes:
-        granted: the request may be sent, soon.
-        wait_s: if not, after how long another may be asked for, in seconds.
-        contenders: how many gateways wait for a grant there, this one
-            included.
+        granted: the request may be sent at once.
+        wait_s: if denied, when to request again, in seconds.
+        contenders: gateways that wait for a grant, the applicant included.
     """
 
     granted: bool
@@ -78,87 +75,86 @@
     contenders: int = 1
 
 
-class _TurnedAway(msgspec.Struct, frozen=True, kw_only=True):
-    """A gateway that was turned away, and until when it may come back."""
+class _Denied(msgspec.Struct, frozen=True, kw_only=True):
+    """A denied gateway, and until when its retry is expected."""
 
     priority: int
-    waits: bool
+    is_waiting: bool
     until: float
 
 
 class _Bucket:
-    """What may be granted for one life of an endpoint."""
+    """Token bucket of one incarnation of an endpoint."""
 
     def __init__(self, *, now: float) -> None:
-        # What was sent there before is not known: what is free comes from
-        # then on.
+        # Starts empty, since earlier requests to the endpoint are unknown.
         self._level = 0.0
         self._per_s = 0.0
-        self.at = now
-        self._turned_away: dict[types.VmId, _TurnedAway] = {}
+        self.used_at = now
+        self._denied: dict[types.VmId, _Denied] = {}
 
     def fill(self, per_s: float, now: float) -> None:
-        """Add what has come since it was last asked for anything."""
-        passed_s = max(0.0, now - self.at)
-        self.at = now
+        """Add what has accumulated since the last use."""
+        passed_s = max(0.0, now - self.used_at)
+        self.used_at = now
         self._per_s = per_s
-        self._level = min(self._level + per_s * passed_s, self._most)
+        self._level = min(self._level + per_s * passed_s, self._size)
 
     @property
-    def _most(self) -> float:
-        return 1.0 + _KEPT_S * self._per_s
+    def _size(self) -> float:
+        return 1.0 + _BURST_S * self._per_s
 
     def decide(
-        self, wish: GrantApplicant, now: float, rng: random.Random
+        self, applicant: GrantApplicant, now: float, rng: random.Random
     ) -> GrantDecision:
-        """Grant one request, or tell when to ask again."""
-        self._forget(now)
-        self._turned_away.pop(wish.vm, None)
-        kept = 1.0 + self._more_urgent(wish)
-        if self._level >= kept:
+        """Grant one request, or return when to request again."""
+        self._drop_overdue(now)
+        self._denied.pop(applicant.vm, None)
+        needed = 1.0 + self._more_urgent(applicant)
+        if self._level >= needed:
             self._level -= 1.0
             return GrantDecision(granted=True, contenders=self._waiting + 1)
-        wait_s = (kept - self._level) / self._per_s
-        wait_s += self._spread_s(wish) * rng.random()
-        self._turned_away[wish.vm] = _TurnedAway(
-            priority=wish.priority,
-            waits=wish.is_waiting,
-            until=now + wait_s + _GRACE_S,
+        wait_s = (needed - self._level) / self._per_s
+        wait_s += self._spread_s(applicant) * rng.random()
+        self._denied[applicant.vm] = _Denied(
+            priority=applicant.priority,
+            is_waiting=applicant.is_waiting,
+            until=now + wait_s + _RESERVATION_GRACE_S,
         )
         contenders = max(1, self._waiting)
         return GrantDecision(
             granted=False, wait_s=wait_s, contenders=contenders
         )
 
-    def give_back(self) -> None:
-        """A request that was granted has not been sent."""
-        self._level = min(self._level + 1.0, self._most)
+    def release(self) -> None:
+        """Take back a grant whose request was not sent."""
+        self._level = min(self._level + 1.0, self._size)
 
     @property
     def _waiting(self) -> int:
-        """How many gateways wait."""
-        return sum(item.waits for item in self._turned_away.values())
+        """The number of denied gateways whose request waits."""
+        return sum(item.is_waiting for item in self._denied.values())
 
-    def _forget(self, now: float) -> None:
-        """Drop those that could have come back, and have not."""
-        for vm, item in list(self._turned_away.items()):
+    def _drop_overdue(self, now: float) -> None:
+        """Drop denied gateways that have not requested again in time."""
+        for vm, item in list(self._denied.items()):
             if item.until < now:
-                del self._turned_away[vm]
+                del self._denied[vm]
 
-    def _more_urgent(self, wish: GrantApplicant) -> int:
-        """How many wait for which something is kept."""
+    def _more_urgent(self, applicant: GrantApplicant) -> int:
+        """Return how many more urgent requests have a grant reserved."""
         return sum(
-            item.waits and item.priority < wish.priority
-            for item in self._turned_away.values()
+            item.is_waiting and item.priority < applicant.priority
+            for item in self._denied.values()
         )
 
-    def _spread_s(self, wish: GrantApplicant) -> float:
-        """Within how long those that are as urgent are to come back."""
-        alike = sum(
-            item.priority <= wish.priority
-            for item in self._turned_away.values()
+    def _spread_s(self, applicant: GrantApplicant) -> float:
+        """Return the time over which equally urgent retries are spread."""
+        competing = sum(
+            item.priority <= applicant.priority
+            for item in self._denied.values()
         )
-        return min(alike / self._per_s, _MOST_SPREAD_S)
+        return min(competing / self._per_s, _MAX_SPREAD_S)
 
 
 class GrantLedger:
@@ -171,33 +167,33 @@
     def decide(
         self,
         key: endpoints.Incarnation,
-        wish: GrantApplicant,
+        applicant: GrantApplicant,
         *,
         per_s: float,
         since: float,
         share: float,
         now: float,
     ) -> GrantDecision:
-        """Whether a gateway may send one request to an endpoint.
+        """Decide whether a gateway may send one request to an endpoint.
 
-        `per_s` is the rate that the endpoint names, `since` when it was first
-        known here to name one, `share` the part of all gateways that are
-        heard here.
+        `per_s` is the announced rate, `since` the clock reading at which
+        this gateway first knew of one, and `share` the share of all gateways
+        that this gateway reaches.
         """
         bucket = self._buckets.get(key)
         if bucket is None:
             bucket = self._buckets[key] = _Bucket(now=since)
         bucket.fill(usable_per_s(per_s) * share, now)
-        return bucket.decide(wish, now, self._rng)
+        return bucket.decide(applicant, now, self._rng)
 
     def release(self, key: endpoints.Incarnation) -> None:
-        """A request that was granted has not been sent."""
+        """Take back a grant whose request was not sent."""
         bucket = self._buckets.get(key)
         if bucket is not None:
-            bucket.give_back()
+            bucket.release()
 
     def forget(self, before: float) -> None:
-        """Drop what was last asked for before a clock reading."""
+        """Drop buckets that were last used before a clock reading."""
         for key, bucket in list(self._buckets.items()):
-            if bucket.at < before:
+            if bucket.used_at < before:
                 del self._buckets[key]
