--- a/rackpost/decide/plain_queue.py
+++ b/rackpost/decide/plain_queue.py
@@ -1,8 +1,8 @@
-"""Who waits for endpoints that say when they take requests again.  Pure.
+"""Order the plain requests that wait for an endpoint.
 
-Endpoints in a back-off and endpoints that name a rate are capacity that is
-known: who of those that wait can be served by its time is known too, and who
-can't is told at once, with the time at which its turn would come.
+Back-offs and announced rates tell when endpoints accept requests again.  So
+the gateway knows which waiting requests can be served in time, and refuses
+the others at once with a time to retry.
 """
 
 import contextlib
@@ -21,11 +21,12 @@
     available_in_s: float,
     rate_per_s: float | None,
 ) -> float:
-    """How long until one of those that wait is sent, in seconds.
+    """Return how long until a waiting request is sent, in seconds.
 
-    `ahead` of it wait here for `count` endpoints, which answer within
-    `answer_s`; the first opens in `available_in_s`, all take `rate_per_s`
-    requests a second from here, None where they name no rate.
+    `ahead` requests are ahead of it at this gateway for `count` endpoints,
+    which answer within `answer_s`.  The first endpoint is available in
+    `available_in_s`; all together accept `rate_per_s` requests a second from
+    this gateway, or None where they announce no rate.
     """
     found = available_in_s
     if rate_per_s is not None:
@@ -36,32 +37,32 @@
 
 
 class Rank(NamedTuple):
-    """Place in the order of those that wait; the least goes first."""
+    """Position of a waiting request; the lowest is served first."""
 
     priority: int
     deadline: float
 
 
 class Waiter:
-    """One request that waits."""
+    """A waiting request."""
 
     def __init__(self, *, rank: Rank) -> None:
         self.rank = rank
-        # When it looks for an endpoint.  Others may look before: it may have
-        # tried those that they find.
+        # Clock reading of its next check for an endpoint.  Until then others
+        # may check, since it may already have tried what they find.
         self.next_check_at = -math.inf
 
 
 class PlainQueue:
-    """Those that wait at one gateway for a plain service, in order."""
+    """The requests that wait at one gateway for a plain service."""
 
     def __init__(self) -> None:
         self._waiters: list[Waiter] = []
-        self._next_turn = 0.0
+        self._next_retry_at = 0.0
 
     @contextlib.contextmanager
     def join(self, rank: Rank) -> Iterator[Waiter]:
-        """Stand in the line until the block ends."""
+        """Keep a request in the queue while the block runs."""
         waiter = Waiter(rank=rank)
         self._waiters.append(waiter)
         try:
@@ -70,23 +71,28 @@
             self._waiters.remove(waiter)
 
     def ahead(self, rank: Rank) -> int:
-        """How many go before one of this rank."""
+        """Return the number of waiting requests with a lower rank."""
         return sum(item.rank < rank for item in self._waiters)
 
     def may_check(self, rank: Rank, now: float) -> bool:
-        """Whether it is its turn to look for an endpoint."""
+        """Whether a request may check for an endpoint now.
+
+        All requests ahead of it must have a later next check.
+        """
         return all(
             item.next_check_at > now
             for item in self._waiters
             if item.rank < rank
         )
 
-    def retry_after_s(self, opens_s: float, per_s: float, now: float) -> float:
-        """When one that is refused may come back, in seconds.
+    def retry_after_s(
+        self, available_in_s: float, rate_per_s: float, now: float
+    ) -> float:
+        """Return when a refused request should be retried, in seconds.
 
-        After those that wait and those that were refused before it.
+        That is after the waiting requests and those refused earlier.
         """
-        first = now + opens_s + len(self._waiters) / per_s
-        turn = max(first, self._next_turn)
-        self._next_turn = turn + 1.0 / per_s
-        return turn - now
+        earliest = now + available_in_s + len(self._waiters) / rate_per_s
+        retry_at = max(earliest, self._next_retry_at)
+        self._next_retry_at = retry_at + 1.0 / rate_per_s
+        return retry_at - now
--- a/rackpost/decide/queue_order.py
+++ b/rackpost/decide/queue_order.py
@@ -1,24 +1,27 @@
-"""Who waits for room, who goes first, who should come back.  Pure."""
+"""Order the generations that wait for decode capacity.
+
+Also decides which of them cannot be served within their time, and when a
+refused client should retry.
+"""
 
 from typing import NamedTuple
 
 import msgspec
 
-# Who is told to come back does so later than room is expected by up to
-# this part of the wait, so that a crowd does not come back at once.
-_SPREAD = 0.5
-# Nobody is told to come back sooner than this, in seconds.
-_SOONEST_S = 0.4
-# What others have left is some milliseconds old when it comes, so that each
-# would hold itself to be first; nearer than this, names decide, in seconds.
+# Retries are spread at random over up to this share of the expected wait, so
+# that refused clients do not all return at once.
+_JITTER_SHARE = 0.5
+_MIN_RETRY_AFTER_S = 0.4
+# Reports of other gateways' waiting requests are some milliseconds old.  Ranks
+# closer than this count as equal, and gateway names decide.
 _TIE_S = 0.06
 
 
 class Rank(NamedTuple):
-    """Place in the order of those that wait; the least goes first.
+    """Position of a waiting request; the lowest is served first.
 
-    `at` is a deadline, in seconds by a clock that all ranks that are
-    compared share.
+    `at` is a deadline in seconds; ranks to be compared must use the same
+    clock.
     """
 
     late: bool
@@ -27,18 +30,17 @@
 
 
 class WaitingRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that needs room.
+    """A request that waits for decode capacity.
 
     Attributes:
-        priority: 0 goes first.
-        target: clock reading by which its first token is in time.
-        start_by: clock reading at which its client leaves without one.
+        priority: 0 is the most urgent.
+        target: clock reading until which its first token is in time.
+        start_by: clock reading at which its client leaves without a token.
         deadline: clock reading at which its client's time is up.
-        start_s: from a place to the first token, as expected.
-        run_s: from a place to its end, as expected.
-        refused_before: it was refused before; another refusal is its last.
-        gateway_stopping: its gateway is being stopped, and would cut it at
-        `deadline`.
+        start_s: expected time from reservation to first token.
+        run_s: expected time from reservation to its end.
+        refused_before: it was refused once; a second refusal is final.
+        gateway_stopping: its gateway stops and would cut it at `deadline`.
     """
 
     priority: int
@@ -51,35 +53,35 @@
     gateway_stopping: bool = False
 
 
-def is_infeasible(claim: WaitingRequest, now: float) -> bool:
-    """Whether it can't begin or can't end within its time any more."""
+def is_infeasible(request: WaitingRequest, now: float) -> bool:
+    """Whether it is too late to start or to finish the request in time."""
     return (
-        now + claim.start_s > claim.start_by
-        or now + claim.run_s > claim.deadline
+        now + request.start_s > request.start_by
+        or now + request.run_s > request.deadline
     )
 
 
-def rank_of(claim: WaitingRequest, now: float) -> Rank:
-    """Sort key: the least goes first.
+def rank_of(request: WaitingRequest, now: float) -> Rank:
+    """Return the rank of a request.
 
-    What can still be in time goes before what is late already and loses
-    nothing more by waiting; among equals the earliest deadline first.
+    Requests that can still be in time are ahead of late ones, which lose
+    nothing more by waiting.  Among equals the earliest deadline is first.
     """
-    late = now + claim.start_s > claim.target
-    at = claim.start_by if late else claim.target
-    return Rank(late, claim.priority, at)
+    late = now + request.start_s > request.target
+    at = request.start_by if late else request.target
+    return Rank(late, request.priority, at)
 
 
 class WaitingSummary(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True
 ):
-    """What a request that waits has left, as other gateways are told it.
+    """The rank of a waiting request, as reported to other gateways.
 
-    Times that are left need no common clock.
+    Times are relative, so gateways need no common clock.
 
     Attributes:
-        slack_s: until it can't be in time any more.
-        start_s: until its client leaves.
+        slack_s: time until the first token cannot be in time any more.
+        start_s: time until the client leaves without a token.
     """
 
     priority: int
@@ -87,7 +89,7 @@
     start_s: float
 
     def rank(self, age_s: float) -> Rank:
-        """`rank_of`, some time after it was told."""
+        """Return the rank, `age_s` seconds after the summary was made."""
         late = self.slack_s < age_s
         at = self.start_s if late else self.slack_s
         return Rank(late, self.priority, at - age_s)
@@ -96,30 +98,30 @@
 def is_ahead(
     other: Rank,
     other_name: str,
-    mine: Rank,
-    my_name: str,
+    own: Rank,
+    own_name: str,
 ) -> bool:
-    """Whether another gateway's request goes before one here, by rank."""
-    alike = other.late == mine.late and other.priority == mine.priority
-    if alike and abs(other.at - mine.at) < _TIE_S:
-        return other_name < my_name
-    return other < mine
+    """Whether another gateway's request is ahead of this gateway's."""
+    comparable = other.late == own.late and other.priority == own.priority
+    if comparable and abs(other.at - own.at) < _TIE_S:
+        return other_name < own_name
+    return other < own
 
 
-def summarize(claim: WaitingRequest, now: float) -> WaitingSummary:
-    """What a request has left."""
+def summarize(request: WaitingRequest, now: float) -> WaitingSummary:
+    """Return the summary of a request to report to other gateways."""
     return WaitingSummary(
-        priority=claim.priority,
-        slack_s=round(claim.target - claim.start_s - now, 3),
-        start_s=round(claim.start_by - now, 3),
+        priority=request.priority,
+        slack_s=round(request.target - request.start_s - now, 3),
+        start_s=round(request.start_by - now, 3),
     )
 
 
 def expected_wait_s(*, ahead: int, running: int, run_s: float) -> float:
-    """How long until room comes (Little's law), in seconds.
+    """Return the expected wait for capacity by Little's law, in seconds.
 
-    `ahead` requests wait already and `running` hold a place, for `run_s`
-    seconds each.
+    `ahead` requests wait already, and `running` generations hold a
+    reservation for `run_s` seconds each.
     """
     if run_s <= 0.0:
         return 0.0
@@ -129,24 +131,25 @@
 
 
 def will_be_infeasible(
-    claim: WaitingRequest, wait_s: float, now: float
+    request: WaitingRequest, wait_s: float, now: float
 ) -> bool:
-    """Whether it would still wait when it can't begin or end any more.
+    """Whether a request will be infeasible after the expected wait.
 
-    One that would only be late waits: its client gets an answer by it,
-    and none by a refusal.
+    A request that would only be late is not: it is better answered late than
+    refused.
     """
-    return is_infeasible(claim, now + wait_s)
+    return is_infeasible(request, now + wait_s)
 
 
 def retry_after_s(
-    claim: WaitingRequest, wait_s: float, now: float, jitter: float
+    request: WaitingRequest, wait_s: float, now: float, jitter: float
 ) -> float:
-    """When to come back, in seconds; `jitter` is from 0 to 1.
+    """Return when a refused client should retry, in seconds.
 
-    Clients heed up to a third of the time that they have left.
+    `jitter` is a random fraction from 0 to 1.
     """
-    later = wait_s * (1.0 + _SPREAD * jitter) + 0.3 * jitter
-    # What ends now can still come back at once, to somebody else.
-    heeded = max(0.0, (claim.deadline - now) / 3.0)
-    return min(max(_SOONEST_S, later), heeded)
+    delay_s = wait_s * (1.0 + _JITTER_SHARE * jitter) + 0.3 * jitter
+    # Clients honour up to a third of their remaining time.  At the end of it
+    # a client may still retry at once at another gateway.
+    limit_s = max(0.0, (request.deadline - now) / 3.0)
+    return min(max(_MIN_RETRY_AFTER_S, delay_s), limit_s)
--- a/rackpost/decide/role_balance.py
+++ b/rackpost/decide/role_balance.py
@@ -1,4 +1,4 @@
-"""How many endpoints of a model prefill, and how many decode.  Pure."""
+"""Decide how a model's endpoints are divided into prefill and decode."""
 
 import collections
 from typing import NamedTuple
@@ -6,49 +6,46 @@
 
 import msgspec
 
-from rackpost.decide import token_timing as token_timing_mod
+from rackpost.decide import token_timing
 from rackpost import types
 
-# Demand is averaged over this long, in seconds: longer than one burst's
-# rise, shorter than a change of role pays for itself.
+# Demand is averaged over this window: longer than the rise of a burst,
+# shorter than a change of role takes to pay off.
 _WINDOW_S = 6.0
-# A rate is never told of less time than this, in seconds.
-_LEAST_S = 0.5
-# A role is changed only where the fuller pool is this full, or sooner where
-# the pool that gives an endpoint has room to spare: callers come together at
-# twice the usual rate, and a change takes longer than they do.
-_FULL = 0.6
-_FULL_FREE = 0.45
-# Prompts come in bursts and wait for each other, and a result that waits
-# lapses: a pool that prefills counts as full at this part of its time (of
-# five endpoints, two of which prefilled, more were late with one).
-_PREFILL_PART = 0.7
-# Without a pool that prefills, prompts are read where tokens are made, at
-# half the pace; and those too long for one allowed pause hold up all that
-# run there, which counts as some more work.
-_IN_PLACE_X = 2.0
-_IN_PLACE_PAUSES_X = 1.5
-# Of so many that decode one is spared to prefill at any load: its seconds
-# away cost less than lasting pauses (under load three that read in place
-# served 0.33 of what generations were worth, two with one apart 0.48).
-_ENOUGH = 3
-# The fuller pool must get less full by a factor.  A change takes one
-# endpoint away for seconds, so that it must pay: by 1 and a share for each
-# endpoint, the more the fewer there are, since one of many makes a small
-# step.  Where the pool that gives it has room to spare meanwhile the share
-# is the first of these, else the second.
-_GAIN_FREE_OF_ONE = 1.0
-_GAIN_OF_ONE = 2.5
-# Gateways that know their demand speak for the others if they have been
-# asked this part of all requests.
-_KNOWN_SHARE = 0.5
+# Shortest period over which a rate is computed.
+_MIN_WINDOW_S = 0.5
+# A role is changed only where the busier pool has at least this utilisation.
+# The second value applies where the pool that loses an endpoint has spare
+# capacity.
+_MIN_UTILISATION = 0.6
+_MIN_UTILISATION_SPARE = 0.45
+# Prefill demand is bursty, and prefilled results expire while they wait: a
+# prefill pool counts as fully utilised at this share of its time.
+_MAX_PREFILL_UTILISATION = 0.7
+# Without a prefill pool, prompts are prefilled in place, which takes this
+# many times longer.  The pauses of the generations beside them count as a
+# further factor on utilisation.
+_IN_PLACE_FACTOR = 2.0
+_IN_PLACE_PAUSE_FACTOR = 1.5
+# With this many decode endpoints, one becomes a prefill endpoint at any load:
+# in-place prefill pauses generations all the time, a role change only briefly.
+_DECODE_POOL_TO_SPLIT = 3
+# A change must lower the utilisation of the busier pool by a factor of 1 plus
+# this over the number of endpoints, since it takes an endpoint away for
+# seconds.  The first value applies where the pool that loses the endpoint has
+# spare capacity.
+_GAIN_SPARE = 1.0
+_GAIN = 2.5
+# Demand counts as known if the gateways that know theirs receive at least
+# this share of all requests.
+_MIN_KNOWN_SHARE = 0.5
 
 
 class Demand(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Work for a model service, in endpoints that it would keep busy.
+    """Demand for a model service, in endpoints that it would keep busy.
 
-    With `is_known` False the one who tells it has not seen enough to say.
-    `requests_per_s` is the requests a second that it rests on.
+    `is_known` is False where the sender has not observed enough;
+    `requests_per_s` is the request rate on which the figures are based.
     """
 
     service: types.ServiceName
@@ -59,165 +56,177 @@
 
 
 class Pools(msgspec.Struct, frozen=True, kw_only=True):
-    """How many endpoints have each role."""
+    """The number of endpoints in each role."""
 
     prefill: int
     decode: int
 
 
-class _Asked(NamedTuple):
-    """What one request asked for.
+class _Request(NamedTuple):
+    """The work of one request.
 
-    `made` is the tokens of its answer, times the share of an endpoint that
-    the request takes meanwhile.
+    `decode` is the number of tokens to generate times the share of an
+    endpoint that the request occupies meanwhile.
     """
 
     at: float
     prompt: int
-    made: float
+    decode: float
 
 
 class DemandMeter:
-    """The work that one gateway's clients have asked for lately."""
+    """Measures the recent demand of one gateway's clients."""
 
     def __init__(self, *, began: float) -> None:
-        """`began` is when this gateway started to count."""
+        """`began` is the clock reading at which counting started."""
         self._began = began
-        self._items: collections.deque[_Asked] = collections.deque()
+        self._items: collections.deque[_Request] = collections.deque()
 
     def add(self, now: float, *, prompt: int, out: int, share: float) -> None:
-        """A request takes `share` of an endpoint for `out` tokens."""
-        self._items.append(_Asked(at=now, prompt=prompt, made=share * out))
+        """Count a request that occupies `share` of an endpoint.
+
+        `prompt` and `out` are the lengths of prompt and answer in tokens.
+        """
+        self._items.append(_Request(at=now, prompt=prompt, decode=share * out))
 
     def demand(
         self,
         service: types.ServiceName,
         now: float,
-        pace: token_timing_mod.TokenTiming,
+        timing: token_timing.TokenTiming,
     ) -> Demand:
-        """The demand over the last seconds, at the present pace.
+        """Return the demand over the window, at the observed token times.
 
-        It is known once the pace is, and requests were counted for half a
-        window: a gateway that had just started told a third of the decode
-        work that there was, and an endpoint that decoded was sent to
-        prefill, at 0.2 of a day's worth.
+        It is known once the token times are and requests were counted for
+        half a window: a gateway that has just started underestimates it.
         """
         while self._items and self._items[0].at < now - _WINDOW_S:
             self._items.popleft()
-        counted_s = min(_WINDOW_S, max(_LEAST_S, now - self._began))
-        prompts = sum(item.prompt for item in self._items)
-        made = sum(item.made for item in self._items)
-        seen = pace.is_known and counted_s >= _WINDOW_S / 2
+        counted_s = min(_WINDOW_S, max(_MIN_WINDOW_S, now - self._began))
+        prompt_tokens = sum(item.prompt for item in self._items)
+        decode_tokens = sum(item.decode for item in self._items)
+        has_observed = timing.is_known and counted_s >= _WINDOW_S / 2
         return Demand(
             service=service,
-            prefill=pace.prefill_s(prompts) / counted_s,
-            decode=pace.decode_s(made) / counted_s,
-            is_known=seen or not self._items,
+            prefill=timing.prefill_s(prompt_tokens) / counted_s,
+            decode=timing.decode_s(decode_tokens) / counted_s,
+            is_known=has_observed or not self._items,
             requests_per_s=len(self._items) / counted_s,
         )
 
 
-def total(service: types.ServiceName, told: Sequence[Demand]) -> Demand:
-    """What all gateways are asked, from what each tells of itself.
+def total(service: types.ServiceName, demands: Sequence[Demand]) -> Demand:
+    """Return the demand at all gateways, from what each reports.
 
-    Those that do not know their demand yet are taken to be asked for like
-    requests: of many gateways one has always just had its first.
+    Gateways whose demand is not known yet are assumed to receive the same
+    kind of requests as the others.
     """
-    known = [item for item in told if item.is_known]
-    asked = sum(item.requests_per_s for item in told)
-    asked_known = sum(item.requests_per_s for item in known)
-    is_known = len(known) == len(told)
-    if asked > 0.0:
-        is_known = asked_known >= _KNOWN_SHARE * asked
-    times = asked / asked_known if asked_known > 0.0 else 1.0
+    known = [item for item in demands if item.is_known]
+    per_s = sum(item.requests_per_s for item in demands)
+    known_per_s = sum(item.requests_per_s for item in known)
+    is_known = len(known) == len(demands)
+    if per_s > 0.0:
+        is_known = known_per_s >= _MIN_KNOWN_SHARE * per_s
+    scale = per_s / known_per_s if known_per_s > 0.0 else 1.0
     return Demand(
         service=service,
-        prefill=times * sum(item.prefill for item in known),
-        decode=times * sum(item.decode for item in known),
+        prefill=scale * sum(item.prefill for item in known),
+        decode=scale * sum(item.decode for item in known),
         is_known=is_known,
-        requests_per_s=asked,
+        requests_per_s=per_s,
     )
 
 
-def _fullness(work: float, endpoints: int) -> float:
+def _utilisation(work: float, endpoints: int) -> float:
     if work <= 0.0:
         return 0.0
     return work / endpoints if endpoints > 0 else float("inf")
 
 
-def fullest(pools: Pools, demand: Demand) -> float:
-    """How full the fuller of the two pools is; 1 is all of it."""
+def peak_utilisation(pools: Pools, demand: Demand) -> float:
+    """Return the utilisation of the busier pool; 1 is its full capacity."""
     if pools.prefill == 0:
-        work = demand.decode + _IN_PLACE_X * demand.prefill
-        return _IN_PLACE_PAUSES_X * _fullness(work, pools.decode)
+        work = demand.decode + _IN_PLACE_FACTOR * demand.prefill
+        return _IN_PLACE_PAUSE_FACTOR * _utilisation(work, pools.decode)
     return max(
-        _fullness(demand.prefill / _PREFILL_PART, pools.prefill),
-        _fullness(demand.decode, pools.decode),
+        _utilisation(demand.prefill / _MAX_PREFILL_UTILISATION, pools.prefill),
+        _utilisation(demand.decode, pools.decode),
     )
 
 
-def _without_one(pools: Pools, new_role: types.Role) -> Pools:
-    """The pools while one endpoint is on its way to a role."""
+def _during_change(pools: Pools, new_role: types.Role) -> Pools:
+    """Return the pools while one endpoint changes to a role."""
     if new_role is types.Role.DECODE:
         return Pools(prefill=pools.prefill - 1, decode=pools.decode)
     return Pools(prefill=pools.prefill, decode=pools.decode - 1)
 
 
-def _giver(pools: Pools, demand: Demand, new_role: types.Role) -> float:
-    """How full the pool is that gives an endpoint to a role."""
+def _donor_utilisation(
+    pools: Pools, demand: Demand, new_role: types.Role
+) -> float:
+    """Return the utilisation of the pool that loses an endpoint to a role."""
     if new_role is types.Role.DECODE:
-        return _fullness(demand.prefill / _PREFILL_PART, pools.prefill)
-    return _fullness(demand.decode, pools.decode)
+        return _utilisation(
+            demand.prefill / _MAX_PREFILL_UTILISATION, pools.prefill
+        )
+    return _utilisation(demand.decode, pools.decode)
 
 
-def _is_free(pools: Pools, demand: Demand, new_role: types.Role) -> bool:
-    """Whether the pool that gives an endpoint has room to spare."""
-    left = _without_one(pools, new_role)
-    is_full = _giver(left, demand, new_role) > 1.0
-    return not is_full and fullest(left, demand) <= fullest(pools, demand)
+def _donor_has_spare(
+    pools: Pools, demand: Demand, new_role: types.Role
+) -> bool:
+    """Whether the pool that loses an endpoint has spare capacity."""
+    during = _during_change(pools, new_role)
+    is_full = _donor_utilisation(during, demand, new_role) > 1.0
+    return not is_full and peak_utilisation(during, demand) <= (
+        peak_utilisation(pools, demand)
+    )
 
 
-def _gain_wanted(pools: Pools, is_free: bool) -> float:
-    """The factor by which a change must make the fuller pool less full."""
-    share = _GAIN_FREE_OF_ONE if is_free else _GAIN_OF_ONE
-    return 1.0 + share / (pools.prefill + pools.decode)
+def _min_gain(pools: Pools, has_spare: bool) -> float:
+    """Return the factor by which a change must lower peak utilisation."""
+    gain = _GAIN_SPARE if has_spare else _GAIN
+    return 1.0 + gain / (pools.prefill + pools.decode)
 
 
 def _best(pools: Pools, demand: Demand) -> Pools:
-    """The division of the endpoints that is least full."""
+    """Return the division with the lowest peak utilisation."""
     total = pools.prefill + pools.decode
     divisions = [
         Pools(prefill=count, decode=total - count) for count in range(1, total)
     ]
     return min(
-        divisions, key=lambda item: fullest(item, demand), default=pools
+        divisions,
+        key=lambda item: peak_utilisation(item, demand),
+        default=pools,
     )
 
 
-def _can_spare_one(pools: Pools, demand: Demand) -> bool:
-    """Whether nobody prefills, and one of those that decode can be spared."""
+def _can_split_decode_pool(pools: Pools, demand: Demand) -> bool:
+    """Whether there is no prefill pool and a decode endpoint can be spared."""
     if pools.prefill > 0 or pools.decode < 2:
         return False
-    if pools.decode >= _ENOUGH:
+    if pools.decode >= _DECODE_POOL_TO_SPLIT:
         return demand.prefill + demand.decode > 0.0
-    during = fullest(_without_one(pools, types.Role.PREFILL), demand)
-    return 0.0 < during < _FULL
+    during = peak_utilisation(
+        _during_change(pools, types.Role.PREFILL), demand
+    )
+    return 0.0 < during < _MIN_UTILISATION
 
 
 def role_to_add(pools: Pools, demand: Demand) -> types.Role | None:
-    """The role that one endpoint of the other should take, if any.
+    """Return the role that one endpoint of the other role should take.
 
-    A step is right if it leads towards the best division, and that is
-    better by enough.
+    None unless a step towards the best division gains enough.
     """
     if pools.decode == 0:
-        # Nobody is served, so that no pace and no demand may be known; one
-        # that decodes can read prompts itself.
+        # Nothing is served, so demand may be unknown; a decode endpoint can
+        # also prefill in place.
         return types.Role.DECODE if pools.prefill > 0 else None
     if not demand.is_known:
         return None
-    now = fullest(pools, demand)
-    if _can_spare_one(pools, demand):
+    current = peak_utilisation(pools, demand)
+    if _can_split_decode_pool(pools, demand):
         return types.Role.PREFILL
     best = _best(pools, demand)
     if best.prefill == pools.prefill:
@@ -225,9 +234,9 @@
     role = types.Role.PREFILL
     if best.prefill < pools.prefill:
         role = types.Role.DECODE
-    is_free = _is_free(pools, demand, role)
-    if now < (_FULL_FREE if is_free else _FULL):
+    has_spare = _donor_has_spare(pools, demand, role)
+    if current < (_MIN_UTILISATION_SPARE if has_spare else _MIN_UTILISATION):
         return None
-    if fullest(best, demand) * _gain_wanted(pools, is_free) >= now:
+    if peak_utilisation(best, demand) * _min_gain(pools, has_spare) >= current:
         return None
     return role
