--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""By what a request is known again: who asks, and what for."""
+"""Fingerprints of requests."""
 
 import dataclasses
 
@@ -7,13 +7,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Asked:
+class _Request:
     organisation: str = "nord"
     method: bytes = b"POST"
     target: bytes = b"/parse/1"
     body: bytes = b"note"
 
-    def known_by(self) -> types.Fingerprint:
+    def fingerprint(self) -> types.Fingerprint:
         return fingerprint.fingerprint(
             organisation=types.OrganisationName(self.organisation),
             method=self.method,
@@ -22,19 +22,19 @@
         )
 
 
-def test_the_same_request_is_known_again_and_no_other() -> None:
-    asked = _Asked()
-    assert asked.known_by() == _Asked().known_by()
+def test_only_the_same_request_has_the_same_fingerprint() -> None:
+    request = _Request()
+    assert request.fingerprint() == _Request().fingerprint()
     others = [
-        dataclasses.replace(asked, organisation="sor"),
-        dataclasses.replace(asked, method=b"PUT"),
-        dataclasses.replace(asked, target=b"/parse/2"),
-        dataclasses.replace(asked, body=b"notes"),
-        # The same bytes, cut elsewhere.
-        dataclasses.replace(asked, organisation="nordP", method=b"OST"),
-        dataclasses.replace(asked, target=b"/parse/1note", body=b""),
-        dataclasses.replace(asked, target=b"/parse/1n", body=b"ote"),
+        dataclasses.replace(request, organisation="sor"),
+        dataclasses.replace(request, method=b"PUT"),
+        dataclasses.replace(request, target=b"/parse/2"),
+        dataclasses.replace(request, body=b"notes"),
+        # The same bytes, divided differently between the fields.
+        dataclasses.replace(request, organisation="nordP", method=b"OST"),
+        dataclasses.replace(request, target=b"/parse/1note", body=b""),
+        dataclasses.replace(request, target=b"/parse/1n", body=b"ote"),
     ]
-    found = {item.known_by() for item in others}
+    found = {item.fingerprint() for item in others}
     assert len(found) == len(others)
-    assert asked.known_by() not in found
+    assert request.fingerprint() not in found
--- a/tests/test_gateway_groups.py
+++ b/tests/test_gateway_groups.py
@@ -1,4 +1,4 @@
-"""Groups of gateways: what they share, and what figures cost in them."""
+"""Division of gateways and endpoints into groups."""
 
 import collections
 import random
@@ -23,15 +23,15 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 21, 68, 96])
-def test_some_gateways_share_all_endpoints(gateways: int) -> None:
+def test_a_small_fleet_is_not_divided(gateways: int) -> None:
     assert gateway_groups.group_count(gateways) == 1
 
 
 @pytest.mark.parametrize("gateways", [97, 285, 370, 1000])
-def test_a_group_has_the_same_size_whatever_their_number(
+def test_group_size_does_not_depend_on_the_fleet(
     gateways: int,
 ) -> None:
-    """So do the messages that a gateway sends and takes."""
+    """So neither do the load reports of one gateway."""
     count = gateway_groups.group_count(gateways)
     sizes = collections.Counter(
         gateway_groups.group_of(name, count)
@@ -42,7 +42,7 @@
     assert min(sizes.values()) >= 25
 
 
-def test_little_moves_when_there_is_one_group_more() -> None:
+def test_few_names_move_when_a_group_is_added() -> None:
     found = names("i", 3000)
     moved = sum(
         gateway_groups.group_of(name, 5) != gateway_groups.group_of(name, 6)
@@ -87,40 +87,40 @@
     )
 
 
-def chosen_from(
+def candidate_ids(
     vm: str, gateways: int, found: list[endpoints.Endpoint], role: types.Role
 ) -> set[str]:
     one = chooser(vm, gateways, found)
     return {item.id for item in one.candidates.find(_SERVICE, role, now=0.1)}
 
 
-def test_gateways_of_a_group_choose_from_the_same_endpoints() -> None:
-    """And together all groups choose from all."""
+def test_gateways_of_a_group_share_its_endpoints() -> None:
+    """All groups together use all endpoints, each endpoint once."""
     found = [endpoint(n, types.Role.DECODE) for n in names("i", 600)]
     by_group: dict[int, set[str]] = {}
     for vm in names("edge", 285):
         number = gateway_groups.group_of(vm, gateway_groups.group_count(285))
-        mine = chosen_from(vm, 285, found, types.Role.DECODE)
-        assert by_group.setdefault(number, mine) == mine
-        assert 80 < len(mine) < 170
+        own = candidate_ids(vm, 285, found, types.Role.DECODE)
+        assert by_group.setdefault(number, own) == own
+        assert 80 < len(own) < 170
     assert set.union(*by_group.values()) == {item.id for item in found}
-    assert sum(len(part) for part in by_group.values()) == len(found)
+    assert sum(len(ids) for ids in by_group.values()) == len(found)
 
 
-def test_of_a_few_endpoints_all_choose_among_all() -> None:
+def test_few_endpoints_are_shared_by_all_groups() -> None:
     found = [endpoint(n, types.Role.PLAIN) for n in names("p", 8)]
     for vm in names("edge", 20):
-        mine = chosen_from(vm, 285, found, types.Role.PLAIN)
-        assert mine == {item.id for item in found}
+        own = candidate_ids(vm, 285, found, types.Role.PLAIN)
+        assert own == {item.id for item in found}
 
 
-def test_what_was_tried_does_not_change_the_part() -> None:
-    """Else a group would use others' endpoints after a failure."""
+def test_exclusions_do_not_widen_the_choice() -> None:
+    """Else a group uses endpoints of others after a failure."""
     found = [endpoint(n, types.Role.DECODE) for n in names("i", 40)]
     one = chooser("edge-1", 285, found)
-    mine = one.candidates.find(_SERVICE, types.Role.DECODE, now=0.1)
-    but = [item.id for item in mine[:-1]]
+    own = one.candidates.find(_SERVICE, types.Role.DECODE, now=0.1)
+    exclude = [item.id for item in own[:-1]]
     left = one.candidates.find(
-        _SERVICE, types.Role.DECODE, exclude=but, now=0.1
+        _SERVICE, types.Role.DECODE, exclude=exclude, now=0.1
     )
-    assert left == mine[-1:]
+    assert left == own[-1:]
--- a/tests/test_notice_relays.py
+++ b/tests/test_notice_relays.py
@@ -1,4 +1,4 @@
-"""News that gateways tell on, and messages that go to many."""
+"""Relays of notices, and messages to many receivers."""
 
 import pytest
 
@@ -13,40 +13,40 @@
     return [types.VmId(f"edge-hall-{at % 3}-{at}") for at in range(count)]
 
 
-def telling(count: int, subject: str) -> int:
-    """How many of some gateways tell a subject's news on."""
+def count_relays(count: int, subject: str) -> int:
+    """Return how many of some gateways relay a subject's notices."""
     known = vms(count)
     return sum(notice_relays.is_relay(vm, known, subject) for vm in known)
 
 
 @pytest.mark.parametrize("count", [1, 2, 4])
-def test_few_gateways_all_tell(count: int) -> None:
-    assert telling(count, "i-1") == count
+def test_few_gateways_all_relay(count: int) -> None:
+    assert count_relays(count, "i-1") == count
 
 
 @pytest.mark.parametrize("count", [21, 103, 370])
-def test_of_many_gateways_a_few_tell_whatever_their_number(
+def test_a_few_of_many_gateways_relay_whatever_their_number(
     count: int,
 ) -> None:
     for number in range(50):
-        assert 4 <= telling(count, f"i-{number}") <= 5
+        assert 4 <= count_relays(count, f"i-{number}") <= 5
 
 
 def test_endpoints_are_spread_over_the_gateways() -> None:
     known = vms(103)
-    told = [
+    relayed = [
         sum(notice_relays.is_relay(vm, known, f"i-{at}") for at in range(1000))
         for vm in known
     ]
-    assert max(told) < 90
+    assert max(relayed) < 90
 
 
-def test_a_gateway_that_knows_nobody_tells() -> None:
+def test_a_gateway_that_knows_no_other_relays() -> None:
     assert notice_relays.is_relay(types.VmId("a"), [], "i-1")
     assert notice_relays.is_relay(types.VmId("a"), [types.VmId("b")], "i-1")
 
 
-def test_what_goes_to_many_is_encoded_once(
+def test_a_message_to_many_is_encoded_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     made = []
--- a/tests/test_plain_queue.py
+++ b/tests/test_plain_queue.py
@@ -1,8 +1,7 @@
-"""Who waits for endpoints that say when they take requests again.
+"""Queues for endpoints that are in a back-off or announce a rate.
 
-The patterns: every endpoint of a service names a rate, or asks for the same
-back-off, in a crowd.  How many can be served by their time is known at once;
-all waited for it, and were refused when it was over.
+Requests that cannot be served in time must be refused at once, and not after
+they have waited.
 """
 
 import asyncio
@@ -22,73 +21,79 @@
 MORE_URGENT = plain_queue.Rank(priority=1, deadline=1.0)
 
 
-def wait_s(ahead: int, *, opens_s: float = 0.0, per_s: float | None) -> float:
+def wait_s(
+    ahead: int, *, available_in_s: float = 0.0, rate_per_s: float | None
+) -> float:
     return plain_queue.expected_wait_s(
         ahead=ahead,
         count=2,
         answer_s=0.1,
-        available_in_s=opens_s,
-        rate_per_s=per_s,
+        available_in_s=available_in_s,
+        rate_per_s=rate_per_s,
     )
 
 
-def test_at_a_rate_each_waits_for_those_before_it() -> None:
-    assert wait_s(0, per_s=4.0) == 0.0
-    assert wait_s(8, per_s=4.0) == 2.0
-    assert wait_s(8, per_s=None) == 0.0
+def test_at_a_rate_requests_wait_for_those_ahead() -> None:
+    assert wait_s(0, rate_per_s=4.0) == 0.0
+    assert wait_s(8, rate_per_s=4.0) == 2.0
+    assert wait_s(8, rate_per_s=None) == 0.0
 
 
-def test_after_a_back_off_few_go_first() -> None:
-    """One to each endpoint, two more for each that was taken."""
-    assert wait_s(1, opens_s=3.0, per_s=None) == 3.0
-    assert wait_s(2, opens_s=3.0, per_s=None) == pytest.approx(3.1)
-    assert wait_s(6, opens_s=3.0, per_s=None) == pytest.approx(3.2)
-    # The slow start is over by then, whatever came of it.
+def test_the_slow_start_adds_to_the_wait() -> None:
+    """One to each endpoint, then two more for each accepted one."""
+    assert wait_s(1, available_in_s=3.0, rate_per_s=None) == 3.0
+    assert wait_s(2, available_in_s=3.0, rate_per_s=None) == pytest.approx(3.1)
+    assert wait_s(6, available_in_s=3.0, rate_per_s=None) == pytest.approx(3.2)
+    # Bounded by the duration of the slow start.
     assert backoff.slow_start_s(10_000, 5.0) == 1.0
 
 
-def test_the_most_urgent_looks_first() -> None:
-    line = plain_queue.PlainQueue()
-    with line.join(LATE) as late, line.join(URGENT) as urgent:
-        assert line.ahead(LATE) == 1 and line.ahead(URGENT) == 0
-        assert line.may_check(urgent.rank, 1.0)
-        assert not line.may_check(late.rank, 1.0)
-        # One that comes new goes by the same order.
-        assert line.may_check(MORE_URGENT, 1.0)
-        # It has looked, and looks again later: others need not wait for it.
+def test_the_most_urgent_request_checks_first() -> None:
+    queue = plain_queue.PlainQueue()
+    with queue.join(LATE) as late, queue.join(URGENT) as urgent:
+        assert queue.ahead(LATE) == 1 and queue.ahead(URGENT) == 0
+        assert queue.may_check(urgent.rank, 1.0)
+        assert not queue.may_check(late.rank, 1.0)
+        # The same order holds for a new request.
+        assert queue.may_check(MORE_URGENT, 1.0)
+        # Until the next check of the urgent one, others may check.
         urgent.next_check_at = 1.2
-        assert line.may_check(late.rank, 1.1)
-        assert not line.may_check(late.rank, 1.2)
-    assert line.may_check(LATE, 1.5)
+        assert queue.may_check(late.rank, 1.1)
+        assert not queue.may_check(late.rank, 1.2)
+    assert queue.may_check(LATE, 1.5)
 
 
-def test_who_is_refused_comes_back_in_the_order_of_refusal() -> None:
-    line = plain_queue.PlainQueue()
-    with line.join(URGENT):
-        # After the one that waits.
-        turns = [line.retry_after_s(1.0, 2.0, 10.0) for _ in range(3)]
-    assert turns == [1.5, 2.0, 2.5]
-    assert line.retry_after_s(0.0, 2.0, 100.0) == 0.0
+def test_refused_requests_retry_one_after_the_other() -> None:
+    queue = plain_queue.PlainQueue()
+    with queue.join(URGENT):
+        # After the waiting request.
+        delays = [queue.retry_after_s(1.0, 2.0, 10.0) for _ in range(3)]
+    assert delays == [1.5, 2.0, 2.5]
+    assert queue.retry_after_s(0.0, 2.0, 100.0) == 0.0
 
 
-def _wanted(now: float, left_s: float) -> reservation_mod.ReservationRequest:
+def _reservation_request(
+    now: float, left_s: float
+) -> reservation_mod.ReservationRequest:
     found = test_admission_queue.reservation_request(now, left_s)
-    claim = msgspec.structs.replace(found.claim, start_by=now + left_s)
-    return msgspec.structs.replace(found, claim=claim)
+    waiting = msgspec.structs.replace(found.claim, start_by=now + left_s)
+    return msgspec.structs.replace(found, claim=waiting)
 
 
-async def _crowd(
+async def _start_generations(
     group: test_admission_queue.Group, count: int, left_s: float
 ) -> list[
     asyncio.Task[
         reservation_mod.DecodeReservation | reservation_mod.NoCapacity
     ]
 ]:
-    """Generations that come at one moment to one gateway."""
+    """Start generations at one gateway at once."""
     now = asyncio.get_running_loop().time()
     gateway = group.gateways[0]
     tasks = [
-        asyncio.create_task(group.generate(gateway, _wanted(now, left_s)))
+        asyncio.create_task(
+            group.generate(gateway, _reservation_request(now, left_s))
+        )
         for _ in range(count)
     ]
     await asyncio.sleep(0.2)
@@ -108,10 +113,10 @@
     ]
 
 
-def test_of_a_crowd_at_a_rate_those_past_their_time_are_told_at_once() -> None:
-    """Two endpoints take two a second each: 12 begin in three seconds.
+def test_requests_beyond_a_rate_are_refused_at_once() -> None:
+    """Two endpoints accept two a second each: 12 start in three seconds.
 
-    They hold six each, for longer than that.
+    Each has six slots, which stay occupied for longer.
     """
 
     async def main() -> None:
@@ -120,15 +125,15 @@
         for number in range(2):
             gateway.add_endpoint(number)
             key = f"d{number}"
-            named = endpoint_rates.AnswerRate(per_s=2.0)
+            rate = endpoint_rates.AnswerRate(per_s=2.0)
             gateway.eligible.rates.record_answer(
-                gateway.table.alive[key], named, 0.0
+                gateway.table.alive[key], rate, 0.0
             )
-            # The owner has said when the next may be asked for.
+            # No grant is available now.
             gateway.eligible.gate.record_no_answer(
                 gateway.table.alive[key], 0.0
             )
-        tasks = await _crowd(group, 100, 3.0)
+        tasks = await _start_generations(group, 100, 3.0)
         refused = _refused(tasks)
         assert 85 <= len(refused) <= 90
         assert all(item.expected_wait_s > 2.5 for item in refused)
@@ -139,8 +144,8 @@
     virtual.run(main())
 
 
-def test_of_a_crowd_in_a_back_off_those_past_their_time_are_told() -> None:
-    """Two endpoints of six slots open in time for those to begin."""
+def test_requests_beyond_a_back_off_are_refused_at_once() -> None:
+    """Two endpoints with six slots each are available in time."""
 
     async def main() -> None:
         group = test_admission_queue.Group(count=1)
@@ -149,7 +154,7 @@
             gateway.add_endpoint(number)
             endpoint = gateway.table.alive[f"d{number}"]
             gateway.eligible.backoffs.record_backoff(endpoint, 3.0, 0.0)
-        tasks = await _crowd(group, 60, 3.45)
+        tasks = await _start_generations(group, 60, 3.45)
         refused = _refused(tasks)
         assert 46 <= len(refused) <= 50
         group.close()
--- a/tests/test_token_timing.py
+++ b/tests/test_token_timing.py
@@ -1,65 +1,61 @@
-"""How fast tokens are read and made, and what rests on it.
-
-Seen: a gateway that stood still for 3.5 s soon after its start refused each
-generation that came to it for the rest of the day, 84 of them within a
-millisecond, while under half of the places were taken and the three other
-gateways served all of theirs.  Its first readings had been held up by the time
-in which it stood still, and were the pace from then on: each generation looked
-hopeless, and nothing that is refused shows that it was not.  Shown by the day
-played again on the mended code, served 0.970 in place of 0.764.
+"""Estimates of prefill and decode time per token.
+
+Guards against a gateway that is suspended shortly after its start, takes its
+first delayed samples for the usual time, and refuses all later requests as
+infeasible without ever observing another sample.
 """
 
 import asyncio
 
 import msgspec
 
-from rackpost.decide import token_timing as token_timing_mod
+from rackpost.decide import token_timing
 from rackpost.gateway import reservation as reservation_mod
 from rackpost.testing import virtual
 from tests import test_admission_queue
 
-# A usual reading, and the same with the gateway suspended in between.
+# A usual sample, and one delayed by a suspension of the gateway.
 _TOKENS = 5000
 _USUAL_S = 0.1
-_HELD_UP_S = 3.6
+_DELAYED_S = 3.6
 
 
-def test_a_reading_that_was_held_up_does_not_stay_the_pace() -> None:
-    pace = token_timing_mod.TokenTiming()
-    pace.record_prefill(_TOKENS, _HELD_UP_S)
+def test_a_delayed_prefill_does_not_distort_the_estimate() -> None:
+    timing = token_timing.TokenTiming()
+    timing.record_prefill(_TOKENS, _DELAYED_S)
     for _ in range(3):
-        pace.record_prefill(_TOKENS, _USUAL_S)
-    assert pace.prefill_s(_TOKENS) < 2.0 * _USUAL_S
+        timing.record_prefill(_TOKENS, _USUAL_S)
+    assert timing.prefill_s(_TOKENS) < 2.0 * _USUAL_S
 
 
-def test_neither_does_a_stream() -> None:
-    pace = token_timing_mod.TokenTiming()
-    pace.record_decode(1000, _HELD_UP_S)
+def test_a_delayed_decode_does_not_distort_the_estimate() -> None:
+    timing = token_timing.TokenTiming()
+    timing.record_decode(1000, _DELAYED_S)
     for _ in range(3):
-        pace.record_decode(1000, _USUAL_S)
-    assert pace.decode_s(1000) < 2.0 * _USUAL_S
-    assert pace.run_s < 12.0 * _USUAL_S
+        timing.record_decode(1000, _USUAL_S)
+    assert timing.decode_s(1000) < 2.0 * _USUAL_S
+    assert timing.run_s < 12.0 * _USUAL_S
 
 
-def test_one_slow_reading_changes_a_known_pace_by_little() -> None:
-    pace = token_timing_mod.TokenTiming()
+def test_one_slow_prefill_changes_the_estimate_little() -> None:
+    timing = token_timing.TokenTiming()
     for _ in range(20):
-        pace.record_prefill(_TOKENS, _USUAL_S)
-    pace.record_prefill(_TOKENS, _HELD_UP_S)
-    assert pace.prefill_s(_TOKENS) < 2.5 * _USUAL_S
+        timing.record_prefill(_TOKENS, _USUAL_S)
+    timing.record_prefill(_TOKENS, _DELAYED_S)
+    assert timing.prefill_s(_TOKENS) < 2.5 * _USUAL_S
 
 
-def _wanted(now: float) -> reservation_mod.ReservationRequest:
-    """A generation whose caller leaves after a second without an event."""
+def _reservation_request(now: float) -> reservation_mod.ReservationRequest:
+    """A generation whose client leaves after a second without a token."""
     found = test_admission_queue.reservation_request(now, 0.5)
-    claim = msgspec.structs.replace(
-        found.claim, start_by=now + 1.0, start_s=_HELD_UP_S
+    waiting = msgspec.structs.replace(
+        found.claim, start_by=now + 1.0, start_s=_DELAYED_S
     )
-    return msgspec.structs.replace(found, claim=claim)
+    return msgspec.structs.replace(found, claim=waiting)
 
 
-def test_who_refuses_by_what_was_learned_hears_when_it_is_wrong() -> None:
-    """Nothing that is refused teaches anything."""
+def test_some_requests_are_admitted_until_the_timing_is_known() -> None:
+    """Refused requests give no samples that could correct the estimate."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -67,15 +63,17 @@
         gateway = group.gateways[0]
         gateway.add_endpoint(0)
         await asyncio.sleep(2.0)
-        placed = 0
+        admitted = 0
         for _ in range(60):
             await asyncio.sleep(0.1)
-            place = await group.generate(gateway, _wanted(loop.time()))
-            if isinstance(place, reservation_mod.DecodeReservation):
-                place.release()
-                placed += 1
-        # One at a time, some each few seconds, until the pace is known.
-        assert 3 <= placed <= 10
+            reservation = await group.generate(
+                gateway, _reservation_request(loop.time())
+            )
+            if isinstance(reservation, reservation_mod.DecodeReservation):
+                reservation.release()
+                admitted += 1
+        # A few at a time, until the timing is known.
+        assert 3 <= admitted <= 10
         group.close()
 
     virtual.run(main())
