--- a/tests/test_plain_crowd.py
+++ b/tests/test_plain_crowd.py
@@ -1,11 +1,9 @@
-"""A crowd at a plain service, which 68 gateways choose endpoints of.
-
-The pattern: 220 requests a second of 75 ms each, 2.3 times the usual rate,
-onto five endpoints, one in each data centre, that work on six at once.
-Half of their time is asked for, so that nobody need wait; what makes them
-wait is that many gateways choose the same endpoint, since it looked least
-loaded a second ago or since the others lose a part of their answers.  The
-times are those that the operators of an address register told.
+"""Load balancing of 68 gateways over the endpoints of a plain service.
+
+220 requests a second of 75 ms each go to five endpoints, one in each data
+centre, that serve six at once: half of their capacity.  Requests must not
+wait because many gateways choose the same endpoint by load reports that are
+a second old, or because other endpoints lose a part of their answers.
 """
 
 import collections
@@ -31,20 +29,19 @@
 _WORK_S = 0.075
 _SECONDS = 5.0
 _TARGET_S = 0.41
-# When some endpoints turn all away, and what they ask for, in seconds.
-_ASK_AT, _ASK_UNTIL, _ASKED_S = 1.0, 4.0, 3.0
-# Gateways tell their figures each second.
-_AGAIN_S = 1.0
+# When rejecting endpoints do so, and the back-off that they request.
+_REJECT_FROM, _REJECT_UNTIL, _BACKOFF_S = 1.0, 4.0, 3.0
+_REPORT_INTERVAL_S = 1.0
 
 
 class Gateway:
     """The choice of one gateway."""
 
     def __init__(self, *, number: int) -> None:
-        here = types.DataCentre(f"hall-{number % _ENDPOINTS}")
+        data_centre = types.DataCentre(f"hall-{number % _ENDPOINTS}")
         self.vm = types.VmId(f"g{number}")
-        self.told = 0
-        self.tells = True
+        self.sequence = 0
+        self.reports_backoffs = True
         self.health = endpoint_health.HealthTracker()
         self.loads = endpoint_load.LoadTable(on_change=lambda: None)
         table = endpoints.EndpointTable()
@@ -73,143 +70,153 @@
             ),
             loads=self.loads,
             health=self.health,
-            data_centre=here,
+            data_centre=data_centre,
             rng=random.Random(number),
         )
         self.chooser.set_gateways(_GATEWAYS)
 
-    def tell(self, others: list["Gateway"], now: float) -> None:
-        """Tell the others what is under way now."""
-        self.told += 1
-        asked = self.eligible.remaining_backoffs(now)
-        uses = {
-            key: endpoint_load.EndpointLoad(requests=use.requests)
-            for key, use in self.loads.own.items()
+    def report(self, others: list["Gateway"], now: float) -> None:
+        """Report load and back-offs to the other gateways."""
+        self.sequence += 1
+        backoffs = self.eligible.remaining_backoffs(now)
+        loads = {
+            key: endpoint_load.EndpointLoad(requests=load.requests)
+            for key, load in self.loads.own.items()
         }
         for other in others:
             if other is not self:
-                other.loads.receive(self.vm, 1, self.told, uses, now)
-                for key, left_s in asked.items():
-                    if self.tells:
+                other.loads.receive(self.vm, 1, self.sequence, loads, now)
+                for key, left_s in backoffs.items():
+                    if self.reports_backoffs:
                         other.health.record_reported_backoff(key, left_s, now)
 
 
-class Due(NamedTuple):
-    """Something happens at a time; `number` orders what is at one time."""
+class Event(NamedTuple):
+    """An action at a time; `number` orders simultaneous events."""
 
     at: float
     number: int
-    what: str
-    who: object
+    action: str
+    subject: object
 
 
-class Crowd:
-    """Requests through the gateways to the endpoints, event by event."""
+class Simulation:
+    """Discrete-event simulation of gateways, requests and endpoints."""
 
     def __init__(
         self,
         *,
         seed: int,
-        at_one: float = 0.0,
-        losing: int = 0,
-        loses: float = 0.0,
+        local_share: float = 0.0,
+        lossy: int = 0,
+        loss_rate: float = 0.0,
         rate: float = _RATE,
-        asking: int = 0,
-        tells: bool = True,
+        rejecting: int = 0,
+        reports_backoffs: bool = True,
     ) -> None:
-        """A part `at_one` of all callers comes to one data centre.
+        """Set up a simulation.
 
-        The first `losing` endpoints lose a part `loses` of their answers, the
-        first `asking` turn all away for some seconds and ask for a back-off;
-        a gateway that is asked tells the others for how long if it `tells`.
+        A share `local_share` of the requests arrives at one data centre.  The
+        first `lossy` endpoints lose a share `loss_rate` of their answers; the
+        first `rejecting` reject all requests for some seconds and request a
+        back-off, which gateways report to each other if `reports_backoffs`.
         """
-        self._asking = {f"r{number}" for number in range(asking)}
-        self._tells = tells
-        self.turned_away = 0
+        self._rejecting = {f"r{number}" for number in range(rejecting)}
+        self._reports_backoffs = reports_backoffs
+        self.rejected = 0
         self.refused = 0
-        self._at_one = at_one
-        self._losing = {f"r{number}" for number in range(losing)}
-        self._loses = loses
+        self._local_share = local_share
+        self._lossy = {f"r{number}" for number in range(lossy)}
+        self._loss_rate = loss_rate
         self._rate = rate
         self.lost = 0
         self._rng = random.Random(seed)
         self._gateways = [Gateway(number=n) for n in range(_GATEWAYS)]
         for gateway in self._gateways:
-            gateway.tells = tells
-        self._due: list[Due] = []
+            gateway.reports_backoffs = reports_backoffs
+        self._events: list[Event] = []
         self._numbers = itertools.count()
-        self._working: collections.Counter[str] = collections.Counter()
+        self._running: collections.Counter[str] = collections.Counter()
         self._queues: dict[str, collections.deque] = {}
-        self.took: list[float] = []
+        self.answer_times_s: list[float] = []
 
     def run(self) -> None:
         for gateway in self._gateways:
-            gateway.tell(self._gateways, 0.0)
-            self._add(_AGAIN_S * self._rng.random(), "tell", gateway)
-        self._add(0.0, "ask", None)
-        while self._due:
-            due = heapq.heappop(self._due)
-            getattr(self, f"_{due.what}")(due.at, due.who)
-
-    def _add(self, at: float, what: str, who: object) -> None:
-        if at < _SECONDS or what == "end":
-            heapq.heappush(self._due, Due(at, next(self._numbers), what, who))
-
-    def _tell(self, now: float, gateway: Gateway) -> None:
-        gateway.tell(self._gateways, now)
-        self._add(now + _AGAIN_S, "tell", gateway)
-
-    def _ask(self, now: float, _: None) -> None:
+            gateway.report(self._gateways, 0.0)
+            self._add(
+                _REPORT_INTERVAL_S * self._rng.random(), "report", gateway
+            )
+        self._add(0.0, "arrive", None)
+        while self._events:
+            event = heapq.heappop(self._events)
+            getattr(self, f"_{event.action}")(event.at, event.subject)
+
+    def _add(self, at: float, action: str, subject: object) -> None:
+        if at < _SECONDS or action == "end":
+            heapq.heappush(
+                self._events, Event(at, next(self._numbers), action, subject)
+            )
+
+    def _report(self, now: float, gateway: Gateway) -> None:
+        gateway.report(self._gateways, now)
+        self._add(now + _REPORT_INTERVAL_S, "report", gateway)
+
+    def _arrive(self, now: float, _: None) -> None:
         gateways = self._gateways
-        if self._rng.random() < self._at_one:
+        if self._rng.random() < self._local_share:
             gateways = gateways[::_ENDPOINTS]
         gateway = self._rng.choice(gateways)
         chosen = self._choose(gateway, now)
-        self._add(now + self._rng.expovariate(self._rate), "ask", None)
+        self._add(now + self._rng.expovariate(self._rate), "arrive", None)
         if chosen is None:
             self.refused += 1
             return
         release = gateway.loads.add_request(chosen.id)
         queue = self._queues.setdefault(chosen.id, collections.deque())
         queue.append((now, gateway, release))
-        self._work(now, chosen.id)
+        self._serve(now, chosen.id)
 
     def _choose(
         self, gateway: Gateway, now: float
     ) -> endpoints.Endpoint | None:
-        """The endpoint that takes a request, past those that do not."""
-        tried: list[types.EndpointId] = []
+        """Return the endpoint that accepts a request, after rejections."""
+        excluded: list[types.EndpointId] = []
         while True:
             chosen = gateway.chooser.choose_plain(
-                SERVICE, exclude=tried, now=now
+                SERVICE, exclude=excluded, now=now
             )
-            if chosen is None or not self._turns_away(chosen, now):
+            if chosen is None or not self._rejects(chosen, now):
                 return chosen
-            tried.append(chosen.id)
-            self._note_turned_away(gateway, chosen, now)
+            excluded.append(chosen.id)
+            self._record_rejection(gateway, chosen, now)
 
-    def _turns_away(self, chosen: endpoints.Endpoint, now: float) -> bool:
-        return chosen.id in self._asking and _ASK_AT <= now < _ASK_UNTIL
+    def _rejects(self, chosen: endpoints.Endpoint, now: float) -> bool:
+        return (
+            chosen.id in self._rejecting
+            and _REJECT_FROM <= now < _REJECT_UNTIL
+        )
 
-    def _note_turned_away(
+    def _record_rejection(
         self, gateway: Gateway, chosen: endpoints.Endpoint, now: float
     ) -> None:
-        self.turned_away += 1
-        said = eligibility.EndpointFeedback(
-            backoff_s=_ASKED_S, leaving=False, rejected=True
+        self.rejected += 1
+        feedback = eligibility.EndpointFeedback(
+            backoff_s=_BACKOFF_S, leaving=False, rejected=True
         )
-        gateway.eligible.record_feedback(chosen, said, now)
+        gateway.eligible.record_feedback(chosen, feedback, now)
         gateway.health.record_rejection(chosen.id, now)
         for other in self._gateways:
             if other is not gateway:
                 other.health.record_reported_full(chosen.id, now)
-                if self._tells:
+                if self._reports_backoffs:
                     other.health.record_reported_backoff(
-                        chosen.id, _ASKED_S, now
+                        chosen.id, _BACKOFF_S, now
                     )
 
-    def _note_lost(self, gateway: Gateway, endpoint: str, now: float) -> None:
-        """A gateway sees that an answer is lost, and tells the others."""
+    def _record_loss(
+        self, gateway: Gateway, endpoint: str, now: float
+    ) -> None:
+        """Record a lost answer, which is reported to all gateways."""
         self.lost += 1
         key = types.EndpointId(endpoint)
         gateway.health.record_failure(key, now)
@@ -219,95 +226,85 @@
 
     @property
     def late(self) -> int:
-        """Answers that came after their target."""
-        return sum(took > _TARGET_S for took in self.took)
+        """The number of answers after their target."""
+        return sum(answer_s > _TARGET_S for answer_s in self.answer_times_s)
 
-    def _work(self, now: float, endpoint: str) -> None:
+    def _serve(self, now: float, endpoint: str) -> None:
         queue = self._queues[endpoint]
-        while queue and self._working[endpoint] < _SLOTS:
-            self._working[endpoint] += 1
+        while queue and self._running[endpoint] < _SLOTS:
+            self._running[endpoint] += 1
             work_s = self._rng.lognormvariate(math.log(_WORK_S) - 0.1, 0.45)
             self._add(now + work_s, "end", (endpoint, queue.popleft()))
 
     def _end(self, now: float, ended: tuple) -> None:
-        endpoint, (asked_at, gateway, release) = ended
+        endpoint, (arrived_at, gateway, release) = ended
         release()
-        if endpoint in self._losing and self._rng.random() < self._loses:
-            self._note_lost(gateway, endpoint, now)
+        if endpoint in self._lossy and self._rng.random() < self._loss_rate:
+            self._record_loss(gateway, endpoint, now)
         else:
-            gateway.health.record_answer(endpoint, now - asked_at)
-            self.took.append(now - asked_at)
-        self._working[endpoint] -= 1
-        self._work(now, endpoint)
+            gateway.health.record_answer(endpoint, now - arrived_at)
+            self.answer_times_s.append(now - arrived_at)
+        self._running[endpoint] -= 1
+        self._serve(now, endpoint)
 
 
-def late_share(*, seed: int, at_one: float = 0.0) -> float:
-    """The part of a crowd's requests that is late."""
-    crowd = Crowd(seed=seed, at_one=at_one)
-    crowd.run()
-    assert len(crowd.took) > 900
-    return crowd.late / len(crowd.took)
+def late_share(*, seed: int, local_share: float = 0.0) -> float:
+    """Return the share of requests that are late."""
+    simulation = Simulation(seed=seed, local_share=local_share)
+    simulation.run()
+    assert len(simulation.answer_times_s) > 900
+    return simulation.late / len(simulation.answer_times_s)
 
 
 def test_gateways_do_not_all_choose_the_same_endpoint() -> None:
-    """By samples that were a second old, up to one in twenty was late."""
     for seed in (1, 2, 3):
         assert late_share(seed=seed) < 0.005
 
 
-def test_a_crowd_at_one_data_centre_is_spread_over_all() -> None:
-    """What is near is preferred, but not beyond its room."""
+def test_load_at_one_data_centre_is_spread_over_all() -> None:
+    """Near endpoints are preferred, but not beyond their capacity."""
     for seed in (1, 2, 3):
-        assert late_share(seed=seed, at_one=0.4) < 0.005
-
+        assert late_share(seed=seed, local_share=0.4) < 0.005
 
-def test_endpoints_that_lose_answers_help_in_a_crowd() -> None:
-    """Three of five lost three answers in ten, and all gateways avoided them.
 
-    Each loss that any of 68 gateways saw was told to all, so that two
-    endpoints had the work of five, and their requests were late.
-    """
+def test_endpoints_that_lose_answers_serve_under_high_load() -> None:
+    """If all gateways avoid three of five, the other two are overloaded."""
     for seed in (1, 2, 3):
-        crowd = Crowd(seed=seed, losing=3, loses=0.3)
-        crowd.run()
-        assert crowd.late / len(crowd.took) < 0.1
+        simulation = Simulation(seed=seed, lossy=3, loss_rate=0.3)
+        simulation.run()
+        assert simulation.late / len(simulation.answer_times_s) < 0.1
 
 
-def test_endpoints_that_lose_answers_are_left_alone_where_there_is_room() -> (
-    None
-):
+def test_endpoints_that_lose_answers_are_avoided_at_low_load() -> None:
     for seed in (1, 2, 3):
-        calm = Crowd(seed=seed, losing=3, loses=0.3, rate=60.0)
-        calm.run()
-        assert calm.late == 0
+        simulation = Simulation(seed=seed, lossy=3, loss_rate=0.3, rate=60.0)
+        simulation.run()
+        assert simulation.late == 0
         # Chosen as often as the others they would lose 18 in 100.
-        assert calm.lost / (calm.lost + len(calm.took)) < 0.15
-
+        assert (
+            simulation.lost
+            / (simulation.lost + len(simulation.answer_times_s))
+            < 0.15
+        )
 
-def test_what_one_gateway_was_asked_for_spares_the_others_the_question() -> (
-    None
-):
-    """One of five endpoints turned all away and asked for 3 s.
 
-    The others knew for a quarter of a second that it had no room, and then
-    found out by themselves: 12 requests were turned away in place of one, and
-    came off the repeats that all may make.
-    """
+def test_a_reported_back_off_spares_other_gateways_a_rejection() -> None:
+    """Else each gateway learns of it by a rejection that costs a retry."""
     for seed in (1, 2, 3):
-        alone = Crowd(seed=seed, asking=1, tells=False)
-        alone.run()
-        told = Crowd(seed=seed, asking=1)
-        told.run()
-        assert told.turned_away < alone.turned_away / 4
-        assert told.refused == 0
-        assert told.late <= alone.late + 5
+        without = Simulation(seed=seed, rejecting=1, reports_backoffs=False)
+        without.run()
+        reported = Simulation(seed=seed, rejecting=1)
+        reported.run()
+        assert reported.rejected < without.rejected / 4
+        assert reported.refused == 0
+        assert reported.late <= without.late + 5
 
 
-def test_endpoints_are_not_spared_where_the_others_are_crowded() -> None:
-    """Who was not asked may send, and does where nobody else has room."""
+def test_endpoints_in_a_reported_back_off_serve_under_high_load() -> None:
+    """A reported back-off does not bind; the requesting endpoint's does."""
     for seed in (1, 2, 3):
-        crowd = Crowd(seed=seed, asking=4)
-        crowd.run()
-        assert crowd.refused == 0
-        # No gateway sends one again that was asked itself.
-        assert crowd.turned_away <= 4 * _GATEWAYS
+        simulation = Simulation(seed=seed, rejecting=4)
+        simulation.run()
+        assert simulation.refused == 0
+        # Each gateway is rejected at most once by each endpoint.
+        assert simulation.rejected <= 4 * _GATEWAYS
