--- a/tests/test_quota_use.py
+++ b/tests/test_quota_use.py
@@ -1,4 +1,4 @@
-"""What operators see of quotas: bounded, by organisation, never a key."""
+"""Quota use as shown to operators: bounded, and without keys."""
 
 import asyncio
 import json
@@ -20,44 +20,46 @@
     return types.OrganisationName(text)
 
 
-def test_use_is_of_the_last_window() -> None:
-    book = quota_use.QuotaUseTracker(window_s=8.0)
-    book.record_admitted(name("a"), 300, 1.0)
-    book.record_admitted(name("b"), 200, 2.0)
-    book.record_refused(name("b"), 2.0)
-    assert book.recent(3.0) == (
+def test_use_covers_the_last_window() -> None:
+    tracker = quota_use.QuotaUseTracker(window_s=8.0)
+    tracker.record_admitted(name("a"), 300, 1.0)
+    tracker.record_admitted(name("b"), 200, 2.0)
+    tracker.record_refused(name("b"), 2.0)
+    assert tracker.recent(3.0) == (
         quota_use.QuotaUse(name("a"), 300, 0),
         quota_use.QuotaUse(name("b"), 200, 1),
     )
-    assert book.recent(9.5) == (quota_use.QuotaUse(name("b"), 200, 1),)
-    assert book.recent(10.1) == ()
+    assert tracker.recent(9.5) == (quota_use.QuotaUse(name("b"), 200, 1),)
+    assert tracker.recent(10.1) == ()
 
 
-def test_of_many_organisations_the_largest_are_told() -> None:
-    """630 organisations cost what twenty-one do."""
-    book = quota_use.QuotaUseTracker(window_s=8.0)
+def test_only_the_largest_organisations_are_reported() -> None:
+    """The size of a report does not grow with the organisations."""
+    tracker = quota_use.QuotaUseTracker(window_s=8.0)
     for number in range(630):
-        book.record_admitted(name(f"o{number}"), number, 1.0)
-    told = book.recent(2.0)
-    assert len(told) == 21
-    assert told[0] == quota_use.QuotaUse(name("o629"), 629, 0)
-    assert told[-1].organisation == quota_use.OTHERS
-    assert sum(item.units for item in told) == sum(range(630))
-    # Added up over gateways the rest stays the rest.
-    assert quota_use.largest(told * 2)[-1].organisation == quota_use.OTHERS
+        tracker.record_admitted(name(f"o{number}"), number, 1.0)
+    reported = tracker.recent(2.0)
+    assert len(reported) == 21
+    assert reported[0] == quota_use.QuotaUse(name("o629"), 629, 0)
+    assert reported[-1].organisation == quota_use.OTHERS
+    assert sum(item.units for item in reported) == sum(range(630))
+    # The sum over gateways keeps the others last.
+    assert quota_use.largest(reported * 2)[-1].organisation == quota_use.OTHERS
 
 
-def test_what_is_over_a_quota_is_refused_and_shown(
+def test_requests_over_quota_are_refused_and_shown(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """A thousand units a second and 500 on top; each request counts 200."""
+    """The burst is 500 units, and each request counts 200."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            held = test_keys.organisation("nord", "secret-key", ratePerS=10)
-            doc = test_gateway_keys.document(2, held)
+            organisation = test_keys.organisation(
+                "nord", "secret-key", ratePerS=10
+            )
+            doc = test_gateway_keys.document(2, organisation)
             await test_gateway_keys.set_document(site, doc)
-            # It has run for long: nothing is forgotten.
+            # As if it had run for long: no spending is forgotten.
             site.gateway.site.quotas.began -= 100.0
             data = test_gateway.request(
                 "/safe/x", more=test_gateway_keys.key("secret-key")
@@ -76,7 +78,7 @@
             args = ["site", "quotas", "--coordinators", where]
             await asyncio.to_thread(cmd_operator.main, args)
             shown = capsys.readouterr().out
-            head, row = [line.split() for line in shown.splitlines()]
+            header, row = [line.split() for line in shown.splitlines()]
             assert row[:3] == ["nord", "10", "500"]
             assert row[-1].startswith("edge-31:")
             assert "secret" not in shown
