--- a/rackpost/coordinator/api.py
+++ b/rackpost/coordinator/api.py
@@ -1,4 +1,4 @@
-"""What operators and endpoints ask of a coordinator over HTTP."""
+"""The HTTP API of a coordinator, for operators and endpoints."""
 
 import asyncio
 from typing import Callable
@@ -20,16 +20,16 @@
 from rackpost import types
 
 _JSON = [(b"content-type", b"application/json")]
-# Callers give a call up after a second; a later answer reaches nobody.
+# Clients time out after one second.
 _ANSWER_S = 0.9
-# A document of many routes may take longer; callers grant it.
+# Clients wait longer for a large document.
 _LONG_BODY = 64 << 10
 _LONG_ANSWER_S = 3.0
-# The same sender's heartbeat is logged as refused once in this, in seconds.
+# Limits how often refused heartbeats of one endpoint are logged.
 _REFUSAL_S = 10.0
-# A request that is held back; `DELETE` lets it go.
+# DELETE of this prefix + fingerprint releases a quarantined request.
 _HELD = b"/quarantine/"
-# Bytes of an unknown sender's name that are logged.
+# Longest prefix of an unknown endpoint's id that is logged, in characters.
 _MAX_NAME = 64
 
 
@@ -47,7 +47,12 @@
         services: Callable[[], frozenset[types.ServiceName]],
         quarantine: quarantine_keeper.QuarantineKeeper,
     ) -> None:
-        """`services` are those of the document in force, if there is one."""
+        """Create the API.
+
+        `services` returns the services of the routing document in force, an
+        empty set if there is none.  `spread` sends an endpoint's update to
+        the other coordinators.
+        """
         self._loop = asyncio.get_running_loop()
         self._services = services
         self._quarantine = quarantine
@@ -61,7 +66,7 @@
     async def handle(
         self, req: message.Request, responder: server.Responder
     ) -> None:
-        """Answer one call."""
+        """Answer one HTTP request."""
         if req.path == paths.DOCUMENT and req.method == b"PUT":
             await self._put(req, responder)
         elif req.path == paths.DOCUMENT and req.method == b"GET":
@@ -72,7 +77,7 @@
             self._endpoint(req, responder)
 
     def _release(self, name: bytes, responder: server.Responder) -> None:
-        """An operator lets a request go that was held back."""
+        """Release a quarantined request."""
         request = quarantine_keeper.of_hex(name.decode("latin-1"))
         if request is None or not self._quarantine.release(request):
             _say(responder, 404, "not held back")
@@ -104,7 +109,7 @@
         req: message.Request,
         responder: server.Responder,
     ) -> None:
-        """An endpoint says that it lives, or that it ends."""
+        """Process a heartbeat, or the notice that an endpoint ends."""
         try:
             item = decode(name, req.body)
             self._check_service(item)
@@ -116,10 +121,10 @@
         _say(responder, 200)
 
     def _check_service(self, item: endpoints.Endpoint) -> None:
-        """Raise CodecError where the document has no such service.
+        """Raise CodecError if the routing document lacks the service.
 
-        It would take the address of an endpoint that serves.  One that is
-        known already may go on and leave when its service has gone.
+        Such an endpoint could take over the address of one in service.  A
+        known endpoint whose service was removed may still send heartbeats.
         """
         if item.state is endpoints.EndpointState.GONE:
             return
@@ -128,10 +133,10 @@
             return
         known = self._directory.table.alive.get(item.id)
         if known is None or known.address != item.address:
-            raise exceptions.CodecError("heartbeat: a service not known")
+            raise exceptions.CodecError("heartbeat: unknown service")
 
     def _note_refused(self, name: str, why: str) -> None:
-        """Log it; whoever sends one sends it again every second."""
+        """Log a refused heartbeat, at a limited rate per endpoint."""
         if self._refusals.is_due(name, self._loop.time()):
             logs.say(
                 logs.Part.COORDINATOR,
@@ -167,7 +172,7 @@
             async with asyncio.timeout(patience):
                 result = await self._node.commit(cmd)
         except TimeoutError:
-            # Whether it is taken is not known: it may be sent again.
+            # The outcome is unknown; the client may send the document again.
             pass
         if result is None:
             self._tell(doc, 503, "no quorum in time")
@@ -179,8 +184,8 @@
     def _holds(self, doc: model.Document) -> bool:
         """Whether this version or a newer one is committed.
 
-        Operators send again what had no clear answer, perhaps at once at
-        several nodes; it need not pass through the log again.
+        Keeps documents that operators resend, perhaps to several
+        coordinators at once, from being replicated again.
         """
         routing = self._node.machine.routing
         return routing is not None and doc.version <= routing.version
@@ -202,7 +207,7 @@
             async with asyncio.timeout(_ANSWER_S):
                 confirmed = await self._node.confirm_read()
         except TimeoutError:
-            # Nobody confirmed it: answered as not confirmed below.
+            # Answered as not confirmed below.
             pass
         routing = self._node.machine.routing
         if not confirmed or routing is None:
--- a/rackpost/coordinator/commit_marks.py
+++ b/rackpost/coordinator/commit_marks.py
@@ -1,9 +1,9 @@
-"""Keeps on disk how far the log is known to be committed.
+"""Persists the index up to which the log is known to be committed.
 
-After a restart of all, a coordinator can so tell gateways the document at
-once; without it nothing of the log counts until a quorum has elected a
-leader.  The mark is a hint: no acknowledgement waits for it, and one that
-is old or lost costs nothing but that time.
+After a restart of all coordinators, the mark lets each of them serve the
+routing document before a quorum has elected a leader.  It is a hint: no
+acknowledgement waits for it, and a stale or lost mark only delays gateways
+until there is a leader.
 """
 
 import asyncio
@@ -13,24 +13,22 @@
 from rackpost import exceptions
 from rackpost import logs
 
-# How often the mark is looked at, in seconds: a change of the document is
-# known after a restart if it was committed this long before.  Written only
-# when it has moved; a change of the document costs two syncs more.
+# How often a moved mark is written; bounds how stale it can be.
 _ROUND_S = 0.3
 
 
 class CommitMarks:
-    """Writes the mark of one replica when it has moved."""
+    """Writes the commit mark of one replica to disk when it has moved."""
 
     def __init__(self, *, node: node_mod.Node, disk: storage.FileDisk) -> None:
         self._node = node
         self._disk = disk
         self._well = True
-        # What the disk holds of this life.
+        # The last mark that this process has written.
         self.written: storage.CommitMark | None = None
 
     async def run(self) -> None:
-        """Keep the mark until cancelled."""
+        """Write the mark whenever it has moved, until cancelled."""
         while True:
             await asyncio.sleep(_ROUND_S)
             mark = self._node.mark
--- a/rackpost/coordinator/directory.py
+++ b/rackpost/coordinator/directory.py
@@ -1,7 +1,7 @@
-"""What a coordinator knows of endpoints and gateways, and tells on.
+"""A coordinator's soft state about endpoints and gateways.
 
-This is soft state: endpoints repeat it, gateways keep it, and nothing of
-it goes through the log.
+Heartbeats rebuild it after a restart; none of it goes through the log.
+Updates are forwarded to all linked gateways.
 """
 
 import asyncio
@@ -17,21 +17,18 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# An endpoint that has been silent for this many heartbeats is forgotten
-# here; gateways judge for themselves by what it answers.
+# Missed heartbeats after which a coordinator forgets an endpoint.
 _SILENT_BEATS = 12
-# Gateways are asked of those that have missed this many heartbeats, a few of
-# them at a time.  Each told each coordinator all endpoints that it had heard
-# of, each second: 1.2 MB a second at 95 gateways and 1,002 endpoints, by
-# their encoded size.
+# Missed heartbeats after which gateways are queried about an endpoint.
 _ASK_BEATS = 3
+# Gateways queried in each round; bounds the traffic of large sites.
 _ASKED = 3
-# So many endpoints are asked of in one message.
+# Endpoints in one query.
 _MOST_ASKED_OF = 500
 
 
 class Directory:
-    """Endpoints by their heartbeats, gateways by their links."""
+    """The endpoints known by heartbeats, and the linked gateways."""
 
     def __init__(self, *, heartbeat_s: float, rng: random.Random) -> None:
         self._loop = asyncio.get_running_loop()
@@ -41,11 +38,15 @@
         self.table = endpoints.EndpointTable()
         self._fresh: set[types.EndpointId] = set()
         self.gateways: dict[channel.Channel, messages.GatewayHello] = {}
-        # What organisations use of their quotas, by gateway.
+        # Recent quota use of organisations, by gateway.
         self.quotas: dict[types.VmId, tuple[quota_use.QuotaUse, ...]] = {}
 
     def update(self, item: endpoints.Endpoint) -> bool:
-        """Take news of an endpoint and pass them on if they are any."""
+        """Apply an endpoint's update and forward it to gateways.
+
+        Returns whether it changed the table; other updates only count as a
+        heartbeat.
+        """
         changed = self.table.update(item, self._loop.time())
         self._fresh.add(item.id)
         if changed:
@@ -64,12 +65,15 @@
         return changed
 
     def tell_gateways(self, msg: msgspec.Struct) -> None:
-        """Send a message to all gateways that are linked."""
+        """Send a message to all linked gateways."""
         for conn in list(self.gateways):
             conn.send(msg)
 
     def take_fresh(self) -> messages.HeartbeatNotice | None:
-        """Whose heartbeats have come here since the last call, if any."""
+        """Return and clear the heartbeats received since the last call.
+
+        None if there were none.
+        """
         if not self._fresh:
             return None
         msg = messages.HeartbeatNotice(digests=digests.pack(self._fresh))
@@ -77,7 +81,7 @@
         return msg
 
     def query_silent(self) -> None:
-        """Ask a few gateways of endpoints that nothing is heard of here."""
+        """Ask a few gateways about endpoints whose heartbeats are missing."""
         before = self._loop.time() - self._ask_s
         ids = self.table.silent(before)[:_MOST_ASKED_OF]
         if not ids or not self.gateways:
@@ -87,10 +91,10 @@
             conn.send(messages.SilenceQuery(ids=tuple(ids)))
 
     def with_incarnation(self, item: endpoints.Endpoint) -> endpoints.Endpoint:
-        """What an endpoint said, with its life as it is known here.
+        """Return an endpoint's update with its incarnation filled in.
 
-        Who ends without telling its life ends the one that it was heard
-        in: others may know already that it has started again.
+        A notice of an end that names no incarnation refers to the one known
+        here; other coordinators may already know a later one.
         """
         known = self.table.alive.get(item.id)
         if item.born or known is None:
@@ -98,14 +102,14 @@
         return msgspec.structs.replace(item, born=known.born)
 
     def full_update(self) -> messages.EndpointUpdate:
-        """All that is known, for a process that has just linked."""
+        """Return all known endpoints, for a newly linked process."""
         return messages.EndpointUpdate(
             alive=tuple(self.table.alive.values()),
             ended=tuple(self.table.ended()),
         )
 
     def forget_silent(self) -> None:
-        """Forget endpoints that have been silent for long."""
+        """Remove endpoints whose heartbeats have been missing for long."""
         for item in self.table.forget_silent(
             self._loop.time() - self._silent_s
         ):
@@ -118,7 +122,7 @@
 
 
 def update_for(item: endpoints.Endpoint) -> messages.EndpointUpdate:
-    """The message that tells of one endpoint."""
+    """Return the message that carries the state of one endpoint."""
     if item.state is endpoints.EndpointState.GONE:
         return messages.EndpointUpdate(ended=(item.incarnation,))
     return messages.EndpointUpdate(alive=(item,))
@@ -127,7 +131,10 @@
 def apply_update(
     table: endpoints.EndpointTable, msg: messages.EndpointUpdate, now: float
 ) -> list[endpoints.Endpoint]:
-    """Put told news into a table; those that changed it."""
+    """Apply a received update to a table.
+
+    Returns the endpoints whose entries changed.
+    """
     told = list(msg.alive)
     told += [
         endpoints.Endpoint(
--- a/rackpost/coordinator/disk.py
+++ b/rackpost/coordinator/disk.py
@@ -1,4 +1,4 @@
-"""A coordinator's disk: made at the first start, patient when it fails."""
+"""A coordinator's disk: created at the first start, retried on faults."""
 
 import asyncio
 import contextlib
@@ -14,17 +14,17 @@
 from rackpost import exceptions
 from rackpost import logs
 
-# A full or faulty disk is tried again this often, in seconds.
+# Pause between attempts to write to a full or faulty disk.
 _AGAIN_S = 0.2
-# Random part of a new replica's id, in bytes: no two are ever the same.
+# Random bytes in a new replica's id; make it unique.
 _NEW_ID_BYTES = 6
 
 
 class RetryingDisk(storage.Disk):
-    """Tries again until what must be durable is.
+    """A disk that retries each write until it succeeds.
 
-    Meanwhile the replica sends nothing, so that a leader with a faulty
-    disk is followed by another.
+    The replica sends nothing meanwhile, so that a leader with a faulty disk
+    loses its leadership.
     """
 
     def __init__(self, *, disk: storage.FileDisk) -> None:
@@ -32,7 +32,7 @@
         self._well = True
 
     async def save(self, out: output.Output) -> None:
-        """Make an output durable, however long it takes."""
+        """Make an output durable; retries until it is."""
         await self._until_done(
             lambda: self._disk.save(out), exceptions.StorageError
         )
@@ -43,7 +43,7 @@
         hard: consensus.HardState,
         log: log_mod.Log,
     ) -> None:
-        """Replace the log by a snapshot, however long it takes."""
+        """Replace the log by a snapshot; retries until it is durable."""
         await self._until_done(
             lambda: self._disk.compact(snapshot, hard, log),
             exceptions.StorageError,
@@ -55,7 +55,7 @@
         write: Callable[[], Awaitable[None]],
         *faults: type[Exception],
     ) -> None:
-        """Write again and again while it ends in one of these faults."""
+        """Retry a write while it raises one of these exceptions."""
         while True:
             try:
                 await write()
@@ -80,11 +80,11 @@
 def open_disk(
     folder: pathlib.Path, *, host: str, first_hosts: tuple[str, ...]
 ) -> tuple[storage.FileDisk, storage.StoredState]:
-    """The disk of this host's replica; a new replica if it has none.
+    """Open the disk of this host's replica, creating it if there is none.
 
     `first_hosts` are the voters of a site that starts for the first time;
-    it is empty for one that runs already.  A replica that finds its log
-    damaged begins anew, under a new id, as if its disk were lost.
+    it is empty for a site that already runs.  If the log is damaged, its
+    files are set aside and a new replica with a new id is created.
     """
     if not (folder / "identity").exists():
         _make(folder, host=host, first_hosts=first_hosts)
@@ -124,7 +124,7 @@
 
 
 def _remove_leftovers(folder: pathlib.Path) -> None:
-    # A log without an identity belongs to nobody.
+    # A log without an identity can't be used.
     for name in ("log", "snapshot", "committed"):
         with contextlib.suppress(FileNotFoundError):
             (folder / name).unlink()
--- a/rackpost/coordinator/links.py
+++ b/rackpost/coordinator/links.py
@@ -1,4 +1,4 @@
-"""Links within a site: their ports, their patience, and dialling."""
+"""Links between the processes of a site: ports, timeouts and dialling."""
 
 import asyncio
 from typing import Any
@@ -12,20 +12,16 @@
 from rackpost.link import websocket
 from rackpost import logs
 
-# The platform gives processes no secret, so that the key proves no more
-# than that a peer speaks this protocol.
+# Not a secret: it only proves that a peer speaks this protocol.
 SECURITY = websocket.Security(key=b"rackpost-site-link")
-# A cut says nothing: a silent peer is given up after 1.5 s, and dialled
-# again every 0.15 s, so that a healed link is back within a second.
+# A silent peer is detected within 1.5 s; with redials every 0.15 s a link is
+# up again within a second after a partition heals.
 TIMEOUTS = websocket.Patience(
     ping_s=0.7, ping_timeout_s=0.8, open_s=1.0, close_s=0.2
 )
 _REDIAL_S = 0.15
-# A host that is down answers nothing, and one that has just come up does
-# not see what was sent before: a first dial is given up after this, in
-# seconds, each further one has twice the time up to `TIMEOUTS.open_s`.
-# Some 20 times the usual time.  With a whole second, gateways that started
-# just before their coordinators were linked 1.1 s later (all power lost).
+# Timeout of the first dial of a host; it doubles with each failure.  A short
+# one reaches soon a host that comes up just after the dial.
 _FIRST_OPEN_S = 0.2
 
 # Offsets from the first of the internal ports.
@@ -35,7 +31,7 @@
 
 
 def host_of(address: str) -> str:
-    """The host of `host:port`."""
+    """Return the host of `host:port`."""
     return address.rpartition(":")[0]
 
 
@@ -43,7 +39,10 @@
 
 
 class Dialler:
-    """Keeps a link to each of a set of hosts; `on_link` runs on each."""
+    """Keeps a link to each of a set of hosts.
+
+    `on_link` is awaited with the host and the channel of each new link.
+    """
 
     def __init__(
         self, *, part: logs.Part, port: int, kinds: Any, on_link: Use
@@ -56,7 +55,7 @@
         self.linked_hosts: set[str] = set()
 
     def set_hosts(self, hosts: Iterable[str]) -> None:
-        """Link to these hosts, and to no others."""
+        """Keep links to exactly these hosts."""
         wanted = set(hosts)
         for host in wanted - set(self._tasks):
             self._tasks[host] = asyncio.create_task(self._keep(host))
@@ -77,7 +76,7 @@
                     await self._while_up(host, conn)
             except exceptions.LinkError as exc:
                 if open_s == _FIRST_OPEN_S:
-                    # Once; it is dialled until it is there.
+                    # Logged once; redials continue until the host is up.
                     logs.say(
                         self._part, "Link not made.", peer=host, why=str(exc)
                     )
@@ -97,5 +96,5 @@
             logs.say(self._part, "Link is lost.", peer=host, why=conn.why)
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         self.set_hosts(())
--- a/rackpost/coordinator/members.py
+++ b/rackpost/coordinator/members.py
@@ -1,7 +1,7 @@
-"""Which replicas take part in consensus, and which hosts are linked to.
+"""Membership of the consensus group, and links to its hosts.
 
-What the leader changes is decided in `rackpost.consensus.membership`; this
-module collects what that rests on, and carries it out.
+`rackpost.consensus.membership` decides which configuration comes next; this
+module collects its inputs and applies the result on the leader.
 """
 
 import asyncio
@@ -17,24 +17,23 @@
 from rackpost import exceptions
 from rackpost import logs
 
-# How often membership and links are looked at, in seconds.
+# How often membership and links are checked.
 _ROUND_S = 0.2
-# A replica that no leader has spoken to for this long asks to join, in
-# seconds.
+# Time without contact with a leader after which a replica asks to join.
 _LEADERLESS_S = 0.8
-# A replica that asked to join is a candidate for this long, in seconds.
+# How long a request to join remains valid.
 _JOINING_S = 2.0
 
 
 class _Belief(NamedTuple):
-    """Who leads and who votes, as this replica was last told."""
+    """The leader and the configuration, as far as this replica knows."""
 
     leader: consensus.ReplicaId | None
     config: consensus.Config
 
 
 class MemberKeeper:
-    """Keeps one replica among the others, and those in order if it leads."""
+    """Keeps one replica a member, and the members complete if it leads."""
 
     def __init__(
         self,
@@ -46,8 +45,9 @@
         copies: int,
         changed: Callable[[], None],
     ) -> None:
-        """`changed` is called when the leader or the config is another.
+        """Create the manager of one replica.
 
+        `changed` is called when the leader or the configuration changes.
         `seeds` are `host:port` of some coordinators; `copies` is how many
         voters must have a record before it is committed.
         """
@@ -66,30 +66,30 @@
 
     @property
     def hosts(self) -> set[str]:
-        """Hosts of all coordinators that are known, perhaps this one's."""
+        """Hosts of all known coordinators; may include this one."""
         known = {
             membership.host_of(peer) for peer in self._node.config.everyone
         }
-        # Before it has joined, a replica knows the seeds alone.
+        # Before it has joined, a replica knows only the seeds.
         return known | self._seeds | self._callers
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
-        """Start from these coordinators, given as `host:port`."""
+        """Replace the seed coordinators, given as `host:port`."""
         self._seeds = {links.host_of(item) for item in seeds}
 
     def note_caller(self, replica: consensus.ReplicaId) -> None:
-        """A replica has made a link to this one."""
+        """Record the host of a replica that has dialled this one."""
         self._callers.add(membership.host_of(replica))
 
     def take_join(self, msg: messages.Join) -> None:
-        """A replica asks to take part: tell the leader, or note it."""
+        """Record a request to join, or forward it to the leader."""
         if self._node.is_leader:
             self._joining[msg.replica] = self._loop.time()
         elif self._node.leader is not None:
             self._node.tell(self._node.leader, msg)
 
     async def run(self) -> None:
-        """Keep links and members until cancelled."""
+        """Maintain links and membership until cancelled."""
         while True:
             self._dialler.set_hosts(self.hosts - {self._ip})
             self._note_belief()
--- a/rackpost/coordinator/messages.py
+++ b/rackpost/coordinator/messages.py
@@ -23,17 +23,22 @@
 
 
 class GatewayHello(_Message, frozen=True, tag="gateway"):
-    """First message of a gateway, with its address for `GatewayLoad`."""
+    """First message of a gateway on a link.
+
+    `load_address` is the host:port at which it receives `GatewayLoad`.
+    """
 
     vm: types.VmId
     load_address: str
 
 
 class FetchRouting(_Message, frozen=True, tag="fetch"):
-    """Ask for a part of what leads to the newest routing document.
+    """Request for a chunk of the change to the newest routing document.
 
-    `held_version` is the version that the gateway has, 0 if none.  In a
-    transfer `digest` says of what, and `offset` how many bytes have come.
+    Attributes:
+        held_version: version that the gateway holds; 0 if none.
+        digest: digest of the transfer to continue; 0 starts a new one.
+        offset: bytes of that transfer that were received.
     """
 
     held_version: int
@@ -42,15 +47,15 @@
 
 
 class RoutingVersion(_Message, frozen=True, tag="at"):
-    """The version of the routing document that this replica holds."""
+    """Announces the version of the routing document that a replica holds."""
 
     version: int
 
 
 class RoutingChunk(_Message, frozen=True, tag="part"):
-    """Bytes of an encoded change from `base` to `version`.
+    """A chunk of an encoded change from version `base` to `version`.
 
-    `size` is how many there are in all, `digest` their CRC-32.
+    `size` is the length of the whole change in bytes, `digest` its CRC-32.
     """
 
     base: int
@@ -62,41 +67,42 @@
 
 
 class EndpointUpdate(_Message, frozen=True, tag="endpoints"):
-    """News of endpoints, and lives of endpoints that have ended."""
+    """State of changed endpoints, and incarnations that have ended."""
 
     alive: tuple[endpoints.Endpoint, ...] = ()
     ended: tuple[endpoints.Incarnation, ...] = ()
 
 
 class HeartbeatNotice(_Message, frozen=True, tag="heard-endpoints"):
-    """Endpoints whose heartbeats came here since the last `HeartbeatNotice`.
+    """Endpoints whose heartbeats were received since the last notice.
 
-    Of a gateway: those of which some coordinator has told it lately.  They
-    are told by the digests of their ids (`routing/digests.py`).
+    Coordinators send those that they received themselves; gateways answer a
+    `SilenceQuery` with those that any coordinator reported lately.
+    `digests` is packed as in `routing/digests.py`.
     """
 
     digests: bytes
 
 
 class SilenceQuery(_Message, frozen=True, tag="silent-endpoints"):
-    """Endpoints that a coordinator hears nothing of: has a gateway?
+    """Asks a gateway for heartbeats of endpoints that are silent here.
 
-    A gateway may reach coordinators that do not reach each other.
+    A gateway may be linked to coordinators that can't reach each other.
     """
 
     ids: tuple[types.EndpointId, ...]
 
 
 class ChangingEndpoints(_Message, frozen=True, tag="changing"):
-    """Endpoints that change their role and take nothing meanwhile."""
+    """Endpoints that are changing their role and accept no requests."""
 
     ids: tuple[types.EndpointId, ...]
 
 
 class Demands(_Message, frozen=True, tag="demands"):
-    """What a gateway's clients ask of the model services.
+    """Demand for the model services at one gateway.
 
-    `quotas` is what organisations have used of theirs there, for operators.
+    `quotas` is the organisations' quota use there, shown to operators.
     """
 
     items: tuple[role_balance.Demand, ...]
@@ -104,44 +110,50 @@
 
 
 class Suspicions(_Message, frozen=True, tag="suspicions"):
-    """What counts against requests under which endpoints ended.
+    """Evidence against requests under which endpoints ended.
 
-    A gateway tells what it saw; a coordinator, all that it knows of requests
-    that are or were held back.
+    A gateway sends what it observed; a coordinator sends all evidence on
+    requests that are or were quarantined.
     """
 
     items: tuple[quarantine.Suspicion, ...]
 
 
 class GatewayAddress(_Message, frozen=True):
-    """Where a gateway takes `GatewayLoad`, as host:port."""
+    """The host:port at which a gateway receives `GatewayLoad`."""
 
     vm: types.VmId
     load_address: str
 
 
 class Peers(_Message, frozen=True, tag="peers"):
-    """Hosts of the coordinators, and the gateways that are linked."""
+    """Hosts of the coordinators, and the linked gateways."""
 
     coordinators: tuple[str, ...]
     gateways: tuple[GatewayAddress, ...]
 
 
 class Join(_Message, frozen=True, tag="join-site"):
-    """A replica that no leader speaks to asks to take part."""
+    """Request to join, from a replica without contact with a leader."""
 
     replica: consensus.ReplicaId
 
 
 class GatewayLoad(_Message, frozen=True, tag="loads"):
-    """What a gateway has under way; `sequence` grows within one `incarnation`.
-
-    `load_address` is where the gateway takes such messages, as host:port.
-    `failed` and `rejecting` are endpoints that it has just seen fail or turn a
-    request away, `waiting` the generations that wait for room and go first,
-    `refused_keys` are keys of `RefusedBook`, `quotas` what organisations have
-    spent there, `backoffs` how long it is to send nothing to some endpoints,
-    in seconds, `named_rates` what endpoints' answers named there.
+    """What one gateway has in flight, sent to the other gateways.
+
+    Attributes:
+        load_address: where the sender receives such messages, as host:port.
+        incarnation: incarnation of the sender.
+        sequence: grows within one incarnation.
+        loads: the sender's load on each endpoint.
+        failed: endpoints that have just failed.
+        rejecting: endpoints that have just rejected a request.
+        waiting: waiting generations that have precedence.
+        refused_keys: keys of requests that were refused.
+        quotas: what organisations have spent at the sender.
+        backoffs: remaining back-off of endpoints, in seconds.
+        named_rates: rates that endpoints named in their answers.
     """
 
     vm: types.VmId
@@ -159,9 +171,10 @@
 
 
 class GrantRequest(_Message, frozen=True, tag="ask-grant"):
-    """Ask the owner of an endpoint's rate for one request.
+    """Asks the owner of an endpoint's rate for a grant to send one request.
 
-    `sequence` is the asker's own, `rate` what it knows of the rate.
+    `number` identifies the exchange at the sender; `rate` is the endpoint's
+    rate as the sender knows it.
     """
 
     number: int
@@ -170,7 +183,7 @@
 
 
 class GrantAnswer(_Message, frozen=True, tag="grant"):
-    """The owner's answer; `rate` is what it knows of the rate."""
+    """The owner's answer; `rate` is the rate as the owner knows it."""
 
     number: int
     decision: rate_grants.GrantDecision
@@ -178,7 +191,7 @@
 
 
 class ReturnGrant(_Message, frozen=True, tag="give-back"):
-    """A request that was granted has not been sent."""
+    """Returns a grant whose request was not sent."""
 
     endpoint: types.EndpointId
     born: int
--- a/rackpost/coordinator/overview.py
+++ b/rackpost/coordinator/overview.py
@@ -1,7 +1,7 @@
-"""What one coordinator knows of its site, for an operator's terminal.
+"""The status page of a coordinator, as operators' tools read it.
 
-It is that coordinator's own knowledge, without asking a quorum: a replica
-that is cut off shows what it last knew.
+It shows the coordinator's local state without a quorum read, so that a
+partitioned replica shows what it last knew.
 """
 
 import msgspec
@@ -17,12 +17,17 @@
 from rackpost.routing import model
 from rackpost import types
 
-# Gateways that are named for each organisation.
+# Gateways listed for each organisation.
 _MOST_GATEWAYS = 3
 
 
 class EndpointLine(msgspec.Struct, frozen=True, kw_only=True):
-    """One endpoint; `silent_s` is since its last heartbeat, in seconds."""
+    """One endpoint.
+
+    Attributes:
+        silent_s: time since its last heartbeat, in seconds.
+        changing: it is changing its role.
+    """
 
     id: types.EndpointId
     service: types.ServiceName
@@ -54,7 +59,7 @@
 
     Attributes:
         rate_per_s: units a second; 0 is no limit.
-        gateways: those where it used most, with what it used there.
+        gateways: those with the largest use, each with its units.
     """
 
     organisation: types.OrganisationName
@@ -66,7 +71,10 @@
 
 
 class HeldLine(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that is held back, for `left_s` seconds more."""
+    """A request that stays quarantined for another `left_s` seconds.
+
+    `endpoints` are those that ended under it.
+    """
 
     fingerprint: str
     endpoints: tuple[types.EndpointId, ...]
@@ -74,11 +82,12 @@
 
 
 class Overview(msgspec.Struct, frozen=True, kw_only=True):
-    """The site, as one coordinator knows it.
+    """The site as one coordinator knows it.
 
     Attributes:
-        version: of the routing document that it holds; 0 if none.
-        hears_quorum: it leads, or has heard the leader lately.
+        version: version of the routing document that it holds; 0 if none.
+        hears_quorum: it leads, or was lately in contact with the leader.
+        held: quarantined requests.
     """
 
     vm: types.VmId
@@ -105,7 +114,7 @@
     quarantine: quarantine_mod.Quarantine,
     now: float,
 ) -> Overview:
-    """What is known at a reading of the loop's clock."""
+    """Return the overview at `now`, a time of the event loop's clock."""
     routing = node.machine.routing
     doc = None if routing is None else _read(routing.source)
     return Overview(
@@ -131,7 +140,7 @@
     try:
         return documents.decode(source)
     except exceptions.RoutingError as exc:
-        # A newer software took it in; its version is shown all the same.
+        # Accepted by a newer release; its version is still shown.
         logs.say(
             logs.Part.COORDINATOR,
             "Document can't be read for the overview.",
@@ -143,7 +152,7 @@
 def _quotas(
     doc: model.Document, directory: directory_mod.Directory
 ) -> tuple[QuotaLine, ...]:
-    """Each organisation that used any, those that used most first."""
+    """Return the organisations that used quota, largest use first."""
     limits = {item.name: item.quota for item in doc.organisations}
     uses = [item for told in directory.quotas.values() for item in told]
     return tuple(
--- a/rackpost/coordinator/peers.py
+++ b/rackpost/coordinator/peers.py
@@ -1,4 +1,4 @@
-"""Tells gateways of the coordinators and of each other."""
+"""Publishes the lists of coordinators and gateways to all gateways."""
 
 import asyncio
 from typing import Callable
@@ -7,14 +7,13 @@
 from rackpost.coordinator import messages
 from rackpost.link import channel
 
-# Changes within this time are told together, in seconds.  When 70 gateways
-# come at once, as after a loss of power, each is sent 9 KB in place of
-# 105 KB by each coordinator.
+# Changes within this time share one message, so that many gateways that link
+# at once do not multiply the traffic.
 _GATHER_S = 0.1
 
 
 class PeerNews:
-    """Gathers what changes, and tells all gateways that are linked."""
+    """Sends `Peers` messages to all linked gateways, in batches."""
 
     def __init__(
         self,
@@ -22,19 +21,22 @@
         directory: directory_mod.Directory,
         coordinators: Callable[[], set[str]],
     ) -> None:
-        """`coordinators` gives the hosts of all that are known."""
+        """Create a publisher; `coordinators` returns all known hosts."""
         self._loop = asyncio.get_running_loop()
         self._directory = directory
         self._coordinators = coordinators
         self._timer: asyncio.TimerHandle | None = None
 
     def tell_soon(self) -> None:
-        """Something has changed."""
+        """Schedule a message to all gateways."""
         if self._timer is None:
             self._timer = self._loop.call_later(_GATHER_S, self._tell_all)
 
     def tell_newcomer(self, conn: channel.Channel) -> None:
-        """A gateway has linked: it needs the coordinators at once."""
+        """Send the lists to a newly linked gateway at once.
+
+        The other gateways receive them with the next batch.
+        """
         conn.send(self._message())
         self.tell_soon()
 
@@ -55,6 +57,6 @@
         )
 
     def close(self) -> None:
-        """Tell nothing more."""
+        """Cancel the scheduled message."""
         if self._timer is not None:
             self._timer.cancel()
--- a/rackpost/coordinator/process.py
+++ b/rackpost/coordinator/process.py
@@ -38,12 +38,12 @@
 from rackpost.routing import model
 from rackpost.state import machine
 
-# A coordinator that was dialled says who it is within this, in seconds.
+# Time for a dialled coordinator to send its hello.
 _HELLO_S = 1.0
-# An endpoint that has missed this many heartbeats counts in no pool; one
-# that crashed is mostly back sooner, and a change of role takes longer.
+# Missed heartbeats after which an endpoint counts in no pool.  Longer than
+# most restarts, shorter than a change of role.
 _SILENT_BEATS = 8.0
-# How often gateways are told whose heartbeats have come, in seconds.
+# How often received heartbeats are published.
 _HEARD_S = 0.5
 
 
@@ -63,7 +63,7 @@
             host=host.ip,
             first_hosts=tuple(sorted(first)) if host.first_start else (),
         )
-        # A record survives as many lost disks as may be lost at once.
+        # A record survives the loss of as many disks as the site tolerates.
         copies = host.tolerance.vms + 1
         self.node = node_mod.Node(
             loaded=loaded,
@@ -87,7 +87,7 @@
         )
         self.feed = routing_feed.RoutingFeed()
         self._reader = documents.IncrementalDecoder()
-        # What a snapshot held is in force at once.
+        # The document of a loaded snapshot is in force at once.
         self._take_routing()
         self._peers = peers.PeerNews(
             directory=self.directory,
@@ -166,7 +166,7 @@
         logs.say(logs.Part.COORDINATOR, "Gateway linked.", peer=hello.vm)
         held = self.quarantine.for_newcomer()
         if held is not None:
-            # Before the document, with which it begins to serve.
+            # Before the document, with which the gateway starts to serve.
             conn.send(held)
         conn.send(messages.RoutingVersion(version=self.feed.version))
         conn.send(self.directory.full_update())
@@ -236,14 +236,14 @@
         )
 
     def _take_routing(self) -> None:
-        """Have gateways told of the document that is in force here."""
+        """Publish the committed routing document if it is newer."""
         routing = self.node.machine.routing
         if routing is None or routing.version <= self.feed.version:
             return
         try:
             self.feed.publish(self._reader.decode(routing.source))
         except exceptions.RoutingError as exc:
-            # A newer software took it in: gateways keep what they have.
+            # Accepted by a newer release; gateways keep their version.
             logs.say(
                 logs.Part.COORDINATOR,
                 "Routing document can't be read.",
@@ -271,7 +271,7 @@
     # The process.
 
     def reload(self, host: settings.HostSettings) -> None:
-        """Take new settings: other seeds."""
+        """Apply changed settings; only the seeds can change."""
         self._members.set_seeds(host.seeds)
         logs.say(
             logs.Part.COORDINATOR,
@@ -291,7 +291,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[None]:
-        """Serve until the block ends."""
+        """Serve while the context is open."""
         calls = api.Api(
             node=self.node,
             directory=self.directory,
--- a/rackpost/coordinator/quarantine_keeper.py
+++ b/rackpost/coordinator/quarantine_keeper.py
@@ -1,12 +1,12 @@
-"""Requests under which endpoints ended: counted over all gateways, kept.
+"""Shares evidence on requests under which endpoints ended.
 
-Each gateway tells every coordinator of what ended under its requests, and
-coordinators tell all gateways of a request once enough has.  So ends that
-several gateways saw add up, and what is rare costs a message or two: no
-gateway is told of the hundreds of runs that an end of many endpoints breaks.
+Each gateway reports the ends of endpoints under its requests to every
+coordinator; coordinators publish a request to all gateways once enough
+endpoints have ended under it.  Ends seen by several gateways add up.
 
-It is neither in the log nor agreed upon: books that were told the same hold
-back the same, on both sides of a cut, and without a quorum.
+The evidence is not replicated by consensus: coordinators with the same
+evidence quarantine the same requests, also during a partition or without a
+quorum.
 """
 
 import asyncio
@@ -20,24 +20,24 @@
 from rackpost import logs
 from rackpost import types
 
-# A full or faulty disk is tried again this often, in seconds.
+# Pause before a failed write is retried.
 _AGAIN_S = 1.0
-# How often what has long been known is looked through, in seconds.
+# How often expired evidence is removed.
 _FORGET_S = 60.0
 
 Tell = Callable[[messages.Suspicions], None]
 
 
 class QuarantineFile:
-    """What one coordinator keeps on its disk, as a whole each time."""
+    """The file with one coordinator's evidence; each save replaces it."""
 
     def __init__(self, *, folder: pathlib.Path) -> None:
         self._path = folder / "quarantine"
 
     def load(self) -> tuple[quarantine.Suspicion, ...]:
-        """What was saved; nothing if that can't be read.
+        """Return the saved evidence, or nothing if it can't be read.
 
-        A coordinator must start whatever the file holds.
+        A damaged file does not keep the coordinator from starting.
         """
         if not self._path.exists():
             return ()
@@ -46,7 +46,7 @@
         except (OSError, exceptions.RackpostError) as exc:
             logs.say(
                 logs.Part.COORDINATOR,
-                "Requests held back are not known.",
+                "Quarantined requests can't be loaded.",
                 why=str(exc),
             )
             return ()
@@ -54,14 +54,15 @@
         return found.items
 
     async def save(self, msg: messages.Suspicions) -> None:
-        """Put this in place of what there is; OSError if that fails."""
+        """Replace the file's content; raises OSError if that fails."""
         await asyncio.to_thread(storage.write_one, self._path, msg)
 
 
 class QuarantineKeeper:
-    """The book of one coordinator.
+    """The quarantine state of one coordinator.
 
-    `tell_gateways` and `tell_replicas` send a message to all that are linked.
+    `tell_gateways` and `tell_replicas` send a message to all linked
+    gateways and coordinators.
     """
 
     def __init__(
@@ -88,14 +89,17 @@
             )
 
     def receive(self, msg: messages.Suspicions) -> None:
-        """Take what a gateway or another coordinator tells."""
+        """Apply evidence from a gateway or another coordinator.
+
+        Publishes each changed request with enough evidence.
+        """
         for request in self.table.add(msg.items, self._loop.time()):
             known = self.table.suspicions_of(request)
             if len(known) < quarantine.MIN_ENDED_TO_REPORT:
                 continue
             self._log(request)
             self._changed.set()
-            # Gateways judge by the same as coordinators do.
+            # Gateways decide on the same evidence as coordinators.
             self._tell_gateways(messages.Suspicions(items=known))
 
     def _log(self, request: types.Fingerprint) -> None:
@@ -109,15 +113,15 @@
         )
 
     def for_newcomer(self) -> messages.Suspicions | None:
-        """What a gateway that has just linked has to know, if anything."""
+        """Return the evidence for a newly linked gateway; None if empty."""
         items = self.table.suspicions(quarantine.MIN_ENDED_TO_REPORT)
         return messages.Suspicions(items=items) if items else None
 
     def release(self, request: types.Fingerprint) -> bool:
-        """An operator says that a request ends nothing; whether it was held.
+        """Release a request from quarantine on behalf of an operator.
 
-        The other coordinators are told, in case that gateways are not linked
-        to this one.
+        Also informs the other coordinators, since some gateways may not be
+        linked to this one.  Returns whether the request was quarantined.
         """
         if not self.table.is_quarantined(request, self._loop.time()):
             return False
@@ -127,7 +131,7 @@
         return True
 
     async def run(self) -> None:
-        """Keep the file as the book is, until cancelled."""
+        """Save changes and remove expired evidence until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(_FORGET_S):
@@ -147,7 +151,7 @@
         except OSError as exc:
             logs.say(
                 logs.Part.COORDINATOR,
-                "Requests held back are not saved.",
+                "Quarantined requests not saved.",
                 why=str(exc),
             )
             self._changed.set()
@@ -155,9 +159,9 @@
 
 
 def of_hex(text: str) -> types.Fingerprint | None:
-    """The digest that a text of hexadecimal digits is; None if it is none."""
+    """Return the fingerprint written in hexadecimal; None if malformed."""
     try:
         return types.Fingerprint(bytes.fromhex(text))
     except ValueError:
-        # An operator's typing error is answered as an unknown request.
+        # Malformed input is answered like an unknown request.
         return None
--- a/rackpost/coordinator/role_orders.py
+++ b/rackpost/coordinator/role_orders.py
@@ -1,4 +1,4 @@
-"""Giving one endpoint the order to change its role, over HTTP."""
+"""Orders an endpoint over HTTP to change its role."""
 
 import asyncio
 import enum
@@ -15,16 +15,16 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# An endpoint answers a report or an order within this, in seconds.
+# Timeout of a request for a report and of an order.
 _CALL_S = 1.5
-# Longest report or answer to an order, in bytes.
+# Limit of a report and of the answer to an order.
 _MAX_BODY = 64 << 10
 # Connections to one endpoint at a time.
 _CONNECTIONS = 2
 
 
 class OrderOutcome(enum.Enum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     TAKEN = "taken"
     HOLDS = "holds already"
@@ -35,14 +35,14 @@
 
 
 class Answer(NamedTuple):
-    """An endpoint's whole answer."""
+    """An endpoint's complete answer."""
 
     status: int
     body: bytes
 
 
 class OrderSender:
-    """Gives endpoints orders in the name of one holder."""
+    """Sends orders to endpoints on behalf of one holder of the fence."""
 
     def __init__(
         self, *, holder: types.VmId, eligible: eligibility.Eligibility
@@ -53,7 +53,7 @@
         self._pool = pool_mod.Pool(id_header=headers.REQUEST_ID)
 
     def sweep(self) -> None:
-        """Close connections that are past their time."""
+        """Close connections that have been idle for too long."""
         self._pool.sweep()
 
     async def send_order(
@@ -66,9 +66,10 @@
     ) -> OrderOutcome:
         """Order an endpoint to take a role, unless it is changing already.
 
-        It takes no order whose fence is below that of an earlier one.  From
-        `until` on, by the loop's clock, another may give orders: a VM that
-        was suspended in between gives none when it wakes.
+        Endpoints refuse an order whose fence is below that of an earlier
+        one.  No order is sent from `until` on (event loop clock): another
+        coordinator may then hold the lease, as after a suspension of this
+        VM.
         """
         try:
             report = await self._report(endpoint)
@@ -77,7 +78,7 @@
         except (exceptions.ExchangeError, exceptions.CodecError) as exc:
             logs.say(
                 logs.Part.COORDINATOR,
-                "Endpoint gives no report.",
+                "No report from endpoint.",
                 endpoint=endpoint.id,
                 why=str(exc),
             )
@@ -128,7 +129,7 @@
         return self._refused(endpoint)
 
     def _refused(self, endpoint: endpoints.Endpoint) -> OrderOutcome:
-        """It was refused: for now, or with the wish for a back-off."""
+        """Return the outcome of a refusal, which may request a back-off."""
         if (
             self._eligible.ineligible_reason(endpoint, self._loop.time())
             is not None
--- a/rackpost/coordinator/roles.py
+++ b/rackpost/coordinator/roles.py
@@ -1,8 +1,8 @@
-"""Changing endpoints' roles: one holder, rising fences, one at a time.
+"""Balances the prefill and decode pools by changing endpoints' roles.
 
-Only the leader gives orders.  It takes a fence in the log when it comes
-to lead, waits until its forerunner's lease has run out, and before each
-order has a quorum confirm that the fence is still its own.
+Only the leader gives orders.  A new leader takes a fence through the log and
+waits until its predecessor's lease has expired; before each order a quorum
+confirms that the fence is still its own.
 """
 
 import asyncio
@@ -20,33 +20,28 @@
 from rackpost.state import commands
 from rackpost import types
 
-# How often the pools are looked at, in seconds.
+# How often the pools are checked.
 _ROUND_S = 0.5
-# An imbalance must last this long before an endpoint is changed, in
-# seconds.
+# How long an imbalance must last before an endpoint's role is changed.
 _LASTS_S = 1.0
-# An order that was not answered may still be carried out this much later
-# (12 s at most, and some for the way), in seconds; no other is given
-# meanwhile.
+# How long an unanswered order may still take effect (12 s and a margin); no
+# other order is given meanwhile.
 _UNANSWERED_S = 13.0
-# A change that the endpoint has not told of after this long has failed,
-# in seconds.
+# A change that no heartbeat has reported within this time has failed.
 _CHANGE_S = 20.0
-# After a change, the next waits until its effect can be seen, in seconds.
+# Pause after a change, until its effect on the demand is visible.
 _PAUSE_S = 6.0
-# What a gateway told of its demand counts for this long, in seconds:
-# gateways tell it each second.
+# How long a gateway's report of its demand is valid; one comes each second.
 _DEMAND_S = 3.0
-# Of a service's endpoints one in so many may change its role at a time.  Of
-# a few no two may be away together; many that changed one after the other
-# would be in proportion only after a crowd has left.
+# One in this many endpoints of a service may change its role at a time:
+# limits lost capacity, yet lets large pools follow a burst.
 _ONE_IN = 5
-# The lease's end is awaited with this margin for slow clocks.
+# Factor on the predecessor's lease, for clock drift.
 _LEASE_MARGIN = 1.2
 
 
 class _Change(NamedTuple):
-    """A change of role that is under way; it has failed after `until`."""
+    """A change of role in progress; it has failed after `until`."""
 
     service: types.ServiceName
     endpoint: endpoints.Endpoint
@@ -55,14 +50,14 @@
 
 
 class _Told(NamedTuple):
-    """What a gateway's clients ask for, and when it said so."""
+    """The demand at one gateway, and when it was received."""
 
     at: float
     items: tuple[role_balance.Demand, ...]
 
 
 class RoleKeeper:
-    """Keeps the pools of each model service in proportion."""
+    """Balances the prefill and decode pools of each model service."""
 
     def __init__(
         self,
@@ -74,9 +69,10 @@
         silent_s: float,
         changing: Callable[[], None],
     ) -> None:
-        """`changing` is called when the set of changing endpoints changes.
+        """Create the manager of one coordinator.
 
-        An endpoint is left out after `silent_s` without a heartbeat.
+        `changing` is called when the set of changing endpoints changes.  An
+        endpoint is left out after `silent_s` without a heartbeat.
         """
         self._loop = asyncio.get_running_loop()
         self._node = node
@@ -101,17 +97,17 @@
 
     @property
     def changing(self) -> tuple[types.EndpointId, ...]:
-        """Endpoints that are changing their role."""
+        """The endpoints that are changing their role."""
         return tuple(self._changes)
 
     def record_demand(
         self, vm: types.VmId, items: tuple[role_balance.Demand, ...]
     ) -> None:
-        """A gateway tells what its clients ask for."""
+        """Record the demand that a gateway reports."""
         self._demands[vm] = _Told(at=self._loop.time(), items=items)
 
     async def run(self) -> None:
-        """Keep the roles until cancelled."""
+        """Balance the pools until cancelled."""
         while True:
             await asyncio.sleep(_ROUND_S)
             self._orders.sweep()
@@ -127,7 +123,7 @@
                 await self._look(service)
 
     def _follow_changes(self) -> None:
-        """Changes that were ordered go on after this node's lead."""
+        """Track ordered changes to their end, also after leadership ends."""
         for change in list(self._changes.values()):
             self._end_change(change, self._loop.time())
 
@@ -167,7 +163,7 @@
         ]
 
     def _demand(self, service: types.ServiceName) -> role_balance.Demand:
-        """What all gateways' clients ask for."""
+        """Return the total demand at all gateways."""
         now = self._loop.time()
         found = [
             item
@@ -194,7 +190,7 @@
             return
         await self._change(service, role, members, pools, demand)
         if not self._may_change(service, members, self._loop.time()):
-            # The next imbalance has to last from its own beginning.
+            # The next imbalance is timed from its own start.
             self._since.pop(service, None)
 
     def _may_change(
@@ -212,7 +208,7 @@
         return now >= self._may_order_at and now >= waits_until
 
     def _pools(self, members: list[endpoints.Endpoint]) -> role_balance.Pools:
-        """The pools as they will be when what was ordered is done."""
+        """Return the pools as they will be after all ordered changes."""
         roles = [
             (
                 self._changes[item.id].role
@@ -232,7 +228,7 @@
         if known is None:
             done = "endpoint is gone"
         elif table.has_restarted(change.endpoint):
-            done = "endpoint has started again"
+            done = "endpoint restarted"
         elif known.role is change.role:
             done = "done"
         elif now >= change.until:
@@ -271,7 +267,7 @@
             ),
             key=lambda item: item.id,
         )
-        # Who follows waits for longer than a lease from here.
+        # A successor waits for longer than one lease from here.
         until = self._loop.time() + self._lease_s
         if not others or not await self._is_still_holder():
             return
@@ -302,10 +298,10 @@
     ) -> None:
         now = self._loop.time()
         if given is role_orders.OrderOutcome.FENCED:
-            # Somebody else leads; this one learns it soon.
+            # Another coordinator leads; this one will learn of it.
             self._may_order_at = now + _UNANSWERED_S
         elif given is role_orders.OrderOutcome.BARRED:
-            # The next round finds another one.
+            # The next round chooses another endpoint.
             return
         elif given is role_orders.OrderOutcome.REFUSED:
             self._not_before[service] = now + _PAUSE_S
--- a/rackpost/coordinator/routing_feed.py
+++ b/rackpost/coordinator/routing_feed.py
@@ -1,8 +1,8 @@
-"""What gateways are sent of the routing document: changes, in parts.
+"""Serves changes of the routing document to gateways, in chunks.
 
-A gateway asks for one part at a time, so that its link carries at most one
-for it and never more than what it has taken.  What it is sent is fixed when
-its transfer begins; a document that comes meanwhile is a further change.
+A gateway requests one chunk at a time, so that at most one is in flight on
+its link.  The content of a transfer is fixed when it starts; a newer document
+is a further change.
 """
 
 import collections
@@ -14,20 +14,19 @@
 from rackpost.routing import model
 from rackpost import types
 
-# Bytes of one part: 26 ms of a gateway's link of 5 Mbit/s, for which
-# keepalives and requests wait behind it.
+# Bounds how long keepalives wait behind a chunk: 26 ms at 5 Mbit/s.
 CHUNK_BYTES = 16 << 10
-# Changes are remembered for gateways that are some versions behind: at most
-# so many, with so many routes in all (some 700 bytes of memory each).
+# Bounds on the changes kept for gateways that are some versions behind: their
+# number, and their routes in all (some 700 bytes of memory each).
 _MAX_STEPS = 64
 _MAX_ROUTES = 8000
-# Encoded changes that are kept for transfers under way, and for gateways
-# that are as far behind as others: at most so many bytes.
+# Limit of the cache of encoded changes, which serves running transfers and
+# gateways that need the same change.
 _MAX_KEPT = 8 << 20
 
 
 class _Encoded(NamedTuple):
-    """A change as it is sent; `digest` tells it from any other."""
+    """An encoded change; `digest` identifies it."""
 
     base: int
     version: int
@@ -36,7 +35,7 @@
 
 
 class RoutingFeed:
-    """The newest document, the last changes to it, and their bytes."""
+    """The newest document, the latest changes to it, and their encodings."""
 
     def __init__(self) -> None:
         self._doc: model.Document | None = None
@@ -46,7 +45,7 @@
             collections.OrderedDict()
         )
         self._kept_bytes = 0
-        # What leads from these versions to the newest one.
+        # Digest of the change from each version to the newest one.
         self._digests: dict[int, int] = {}
 
     @property
@@ -56,13 +55,13 @@
 
     @property
     def services(self) -> frozenset[types.ServiceName]:
-        """The services of the newest document; none without one."""
+        """The services of the newest document; empty without a document."""
         if self._doc is None:
             return frozenset()
         return frozenset(item.name for item in self._doc.services)
 
     def publish(self, doc: model.Document) -> None:
-        """A newer document is in force."""
+        """Make a newer document available."""
         if self._doc is not None:
             step = changes.diff(self._doc, doc)
             self._steps.append(step)
@@ -75,10 +74,10 @@
     def chunk(
         self, asked: messages.FetchRouting
     ) -> messages.RoutingChunk | None:
-        """The part that a gateway asked for; None if there is nothing new.
+        """Return the requested chunk; None if there is nothing newer.
 
-        A transfer that another coordinator began goes on where it was; one
-        that is not known here any more is followed by another.
+        A transfer that another coordinator started is continued; one that is
+        no longer cached is replaced by a new transfer from offset 0.
         """
         encoded = self._kept.get(asked.digest)
         if encoded is None:
@@ -97,7 +96,7 @@
         )
 
     def _encoded(self, have: int, doc: model.Document) -> _Encoded:
-        """The change from version `have` to the newest document."""
+        """Return the encoded change from a version to the newest document."""
         found = self._find(have)
         if found is None:
             change = self._change(have, doc)
@@ -122,7 +121,7 @@
 
     def _encode(self, change: changes.Change) -> _Encoded:
         data = changes.encode(change)
-        # 0 stands for no transfer.
+        # 0 means "no transfer" in requests.
         digest = zlib.crc32(data) or 1
         found = _Encoded(change.base, change.version, digest, data)
         self._kept[digest] = found
