--- a/rackpost/platform/documents.py
+++ b/rackpost/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operators' routing document: its wire form to `routing.model`."""
+"""Decodes the operators' routing document into `routing.model`."""
 
 import msgspec
 
@@ -9,15 +9,15 @@
 from rackpost import types
 
 _MS = 1000.0
-# The platform's kinds; any kind unknown here is treated as unsafe.
+# The platform's kinds; any other kind is treated as unsafe.
 _KINDS = {
     "safe": model.RouteKind.SAFE,
     "streaming": model.RouteKind.STREAM,
 }
 
 
-# Clients leave a stream that has been silent for the longest of these: a
-# time in seconds, and multiples of the route's target and pause.
+# Clients give a stream up after a pause of the longest of these: a time in
+# seconds, and multiples of the route's target latency and target gap.
 _SILENCE_S = 2.0
 _SILENCE_TARGETS = 4.0
 _SILENCE_GAPS = 8.0
@@ -47,7 +47,7 @@
 class _Engine(msgspec.Struct, kw_only=True, rename="camel"):
     slots: int = 1
     kv_capacity_tokens: int = 0
-    # Tokens that one event of a stream holds.
+    # Tokens in one event of a stream.
     stride: int = 1
     # In seconds.
     handle_ttl_s: float = msgspec.field(default=0.0, name="handleTtlS")
@@ -72,7 +72,7 @@
     priority: int | None = None
     unit: str = ""
     plain_tokens: int = 1
-    # A second; 0 is no limit.
+    # Units a second; 0 is no limit.
     rate_per_s: float = 0.0
     burst: float = 0.0
 
@@ -90,17 +90,15 @@
 _DECODER = msgspec.json.Decoder(_Document)
 _ROUTE_DECODER = msgspec.json.Decoder(_Route)
 _ORGANISATION_DECODER = msgspec.json.Decoder(_Organisation)
-# Quotas in this unit count a request by its tokens, others count requests.
+# Quotas in this unit count tokens; all others count requests.
 _TOKENS_UNIT = "token_stream"
 
 
 class IncrementalDecoder:
-    """Decodes documents, each of which is mostly like the last.
+    """Decodes a sequence of similar documents.
 
-    A route that is written as in the last document is that document's own,
-    so that reading costs what has changed: 2 ms of a whole core in place of
-    12 for 4,200 routes, besides the check of the whole.  So is an
-    organisation.
+    Routes and organisations whose text is the same as in the last document
+    are reused, so that only the changed ones are decoded.
     """
 
     def __init__(self) -> None:
@@ -108,7 +106,7 @@
         self._organisations: dict[bytes, model.Organisation] = {}
 
     def decode(self, text: bytes) -> model.Document:
-        """A checked document; RoutingError says what is wrong with it."""
+        """Decode and validate a document; raises RoutingError."""
         try:
             wire = _DECODER.decode(text)
             routes = [self._decode_route(bytes(raw)) for raw in wire.routes]
@@ -117,7 +115,7 @@
                 self._decode_organisation(bytes(raw)) for raw in callers
             ]
         except (msgspec.DecodeError, msgspec.ValidationError) as exc:
-            raise exceptions.RoutingError(f"not a document: {exc}") from exc
+            raise exceptions.RoutingError(f"bad document: {exc}") from exc
         doc = model.Document(
             version=wire.version,
             routes=tuple(routes),
@@ -150,7 +148,7 @@
 
 
 def decode(text: bytes) -> model.Document:
-    """A checked document; RoutingError says what is wrong with it."""
+    """Decode and validate a document; raises RoutingError."""
     return IncrementalDecoder().decode(text)
 
 
@@ -213,8 +211,8 @@
 
 
 def _organisation(wire: _Organisation) -> model.Organisation:
-    # What a key is must not stand in an error, so that the digest of an
-    # empty one is left to be refused by the check of the whole.
+    # An empty key is refused by the validation of the document, whose errors
+    # contain no keys.
     return model.Organisation(
         name=types.OrganisationName(wire.name),
         keys=tuple(keys_mod.digest(key.encode()) for key in wire.api_keys),
--- a/rackpost/platform/headers.py
+++ b/rackpost/platform/headers.py
@@ -1,7 +1,4 @@
-"""Header names of the platform (lower case), and what they say.
-
-Headers that only we may set are dropped from what clients send.
-"""
+"""The platform's headers: names in lower case, and parsers of values."""
 
 import re
 from typing import NamedTuple
@@ -16,13 +13,13 @@
 REQUEST_ID = b"x-request-id"
 DEADLINE_MS = b"x-deadline-ms"
 ENDPOINT_ID = b"x-expect-instance"
-# Which endpoint an answer is from; `ENDPOINT_ID` asks for one.
+# The endpoint that sent an answer; `ENDPOINT_ID` selects one in a request.
 ANSWERED_BY = b"x-instance-id"
 STAGE = b"x-serving-stage"
 KV_SOURCE = b"x-kv-source"
 PRIORITY = b"x-request-priority"
 RESUME_AFTER = b"last-event-id"
-# Whose request it is, where callers have keys.
+# The organisation of a request, where callers have keys.
 ORGANISATION = b"x-tenant-id"
 _KEY = b"authorization"
 _KEY_SCHEME = b"bearer"
@@ -30,22 +27,21 @@
 NOT_RUN = b"x-not-executed"
 _RETRY_AFTER = b"retry-after"
 _LEAVING = b"server-leaving"
-# Requests a second that an endpoint takes from all gateways together.
+# Requests a second that an endpoint accepts from all gateways together.
 _RATE = b"server-limit"
 _DECIMAL = re.compile(rb"\d{1,12}(\.\d{1,12})?|\.\d{1,12}")
 _TOKENS = b"x-token-usage"
-# ID:TOKENS of each part of the prompt, by commas.
+# ID:TOKENS of each part of the prompt, separated by commas.
 _PROMPT_PARTS = b"x-prompt-prefix"
 _LENGTH_GUESS = b"x-length-hint"
 
 PREFILL = b"prefill"
 
-# Statuses with which an endpoint turns a request away.
+# Statuses with which an endpoint rejects a request.
 _TURNED_AWAY = (429, 503)
 
-# Set by us alone, whatever a client sent: all that tells an endpoint how
-# to run a request.  What a client pins or reserves there cannot give way,
-# so that endpoints hold less than the gateways' figures say.
+# Headers that control how an endpoint runs a request.  Only gateways set
+# them: a client could otherwise reserve memory that gateways do not count.
 GATEWAY_ONLY = frozenset(
     (
         DEADLINE_MS,
@@ -61,14 +57,14 @@
     )
 )
 
-# Where callers have keys: the key itself, and whose it is.
+# Headers with a caller's key and its organisation.
 CALLER_KEY_HEADERS = frozenset((_KEY, ORGANISATION))
-# Asks a client that has shown no key, or an unknown one, for one.
+# Sent to a client without a key or with an unknown one.
 AUTH_CHALLENGE = (b"www-authenticate", b"Bearer")
 
 
 class RequestSizes(NamedTuple):
-    """Sizes of a request: its prompt, and its answer as far as told."""
+    """Sizes of a request in tokens: prompt, longest and expected answer."""
 
     prompt: int
     max_output: int
@@ -76,14 +72,14 @@
 
 
 def whole(value: bytes | None) -> int | None:
-    """A header's whole number; None where there is none."""
+    """Parse a header's whole number; None if missing or malformed."""
     if value is None or not value.strip().isdigit():
         return None
     return int(value)
 
 
 def request_sizes(headers: Sequence[message.Header]) -> RequestSizes | None:
-    """Sizes of a model request; None where it names none."""
+    """Return the sizes of a model request; None if it names none."""
     usage = message.find(headers, _TOKENS)
     if usage is None:
         return None
@@ -97,14 +93,14 @@
 
 
 def is_rejection(head: message.Head) -> bool:
-    """Whether an endpoint did not take the request for want of room."""
+    """Whether an endpoint rejected the request for lack of capacity."""
     return head.status in _TURNED_AWAY
 
 
 def backoff_s(head: message.Head) -> float | None:
-    """How long an endpoint that turns a request away wants no other.
+    """Return the back-off that a rejection requests, in seconds.
 
-    In seconds; None where it asks for nothing that can be read.
+    None if the answer is no rejection or names no readable time.
     """
     if not is_rejection(head):
         return None
@@ -115,12 +111,12 @@
 
 
 def announces_leaving(head: message.Head) -> bool:
-    """Whether an endpoint's answer says that it is leaving."""
+    """Whether an endpoint announces in its answer that it is leaving."""
     return message.find(head.headers, _LEAVING) == b"1"
 
 
 def named_rate(head: message.Head) -> endpoint_rates.AnswerRate:
-    """The rate of requests that an endpoint's answer names."""
+    """Return the rate of requests that an endpoint names in an answer."""
     told = [value for name, value in head.headers if name == _RATE]
     if not told:
         return endpoint_rates.AnswerRate()
@@ -131,13 +127,19 @@
 
 
 def own_prompt_part(headers: Sequence[message.Header]) -> bytes:
-    """Id of the prompt's last part, which is the request's own; or b""."""
+    """Return the id of the prompt's last part, b"" if there is none.
+
+    The last part is the one that belongs to the request alone.
+    """
     parts = message.find(headers, _PROMPT_PARTS) or b""
     return parts.rpartition(b",")[2].partition(b":")[0].strip()
 
 
 def key_digest(headers: Sequence[message.Header]) -> types.KeyDigest | None:
-    """What the one key that a request shows is known by; None without."""
+    """Return the digest of a request's key.
+
+    None unless the request has exactly one key.
+    """
     shown = [value for name, value in headers if name == _KEY]
     if len(shown) != 1:
         return None
--- a/rackpost/platform/heartbeats.py
+++ b/rackpost/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Endpoints' heartbeats: their wire form to `routing.endpoints`."""
+"""Decodes endpoints' heartbeats into `routing.endpoints`."""
 
 import ipaddress
 import math
@@ -19,10 +19,10 @@
 
 
 class _Heartbeat(msgspec.Struct, kw_only=True, rename="camel"):
-    """Nothing that endpoints always send has a default.
+    """A heartbeat on the wire.
 
-    What lacks a field, or holds another type, was written by somebody
-    else and tells of no endpoint.
+    Fields that endpoints always send have no default, so that a body without
+    them is refused.
     """
 
     service: str
@@ -46,7 +46,7 @@
 
 
 def decode(endpoint_id: str, text: bytes) -> endpoints.Endpoint:
-    """The endpoint that a heartbeat tells of; CodecError if it is bad."""
+    """Decode a heartbeat; raises CodecError if it is invalid."""
     try:
         wire = _DECODER.decode(text)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
@@ -69,20 +69,20 @@
 
 
 def _why_unusable(wire: _Heartbeat) -> str:
-    """What is wrong with a heartbeat that can be read; "" if nothing is."""
+    """Return why a decoded heartbeat is invalid; "" if it is valid."""
     if wire.state not in _STATES:
-        return "a state that is not known"
+        return "unknown state"
     if not stages.is_known(wire.stage):
-        return "a role that is not known"
+        return "unknown role"
     if not wire.service:
         return "no service"
     if wire.slots < 1:
         return "no slots"
     if wire.sequence < 0 or wire.born < 0:
-        return "a count below 0"
+        return "negative sequence or start time"
     if not math.isfinite(wire.cold_remaining_ms):
-        return "a time that is none"
-    return "" if _is_address(wire.address) else "an address that is none"
+        return "remaining cold time is not finite"
+    return "" if _is_address(wire.address) else "invalid address"
 
 
 def _is_address(text: str) -> bool:
@@ -95,7 +95,10 @@
 
 
 def gone(endpoint_id: str, text: bytes = b"") -> endpoints.Endpoint:
-    """An endpoint that has said that it ends, and of which life if told."""
+    """Decode the notice that an endpoint ends; raises CodecError.
+
+    The incarnation is 0 if the body does not name it.
+    """
     born = 0
     if text:
         try:
--- a/rackpost/platform/keys.py
+++ b/rackpost/platform/keys.py
@@ -1,16 +1,15 @@
-"""Callers' keys: what they are known by past the adapter."""
+"""Digests of callers' keys; the keys themselves stay in this package."""
 
 import hashlib
 
 from rackpost import types
 
-# Bytes of a SHA-256 that are kept: as many as a key has at most in
-# randomness, and half of what a change of 630 organisations would carry.
+# Bytes kept of a SHA-256: 128 bits, at half the size on the wire.
 _BYTES = 16
 
 
 def digest(key: bytes) -> types.KeyDigest:
-    """What a key is known by; b"" for an empty one, which is no key."""
+    """Return the digest of a key; b"" for an empty key, which is invalid."""
     if not key:
         return types.KeyDigest(b"")
     return types.KeyDigest(hashlib.sha256(key).digest()[:_BYTES])
--- a/rackpost/platform/orders.py
+++ b/rackpost/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to endpoints and their reports, on the wire."""
+"""Wire format of orders to endpoints and of endpoints' reports."""
 
 from typing import NamedTuple
 
@@ -13,10 +13,10 @@
 
 
 class Report(NamedTuple):
-    """What an endpoint says of itself.
+    """State that an endpoint reports.
 
-    `orders_taken` counts the orders of this incarnation; `changing` tells
-    that one is under way.
+    `orders_taken` counts the orders accepted in this incarnation; `changing`
+    is set while one of them is in progress.
     """
 
     role: types.Role
@@ -28,7 +28,7 @@
 class _Report(msgspec.Struct, kw_only=True):
     stage: str = ""
     busy: bool = False
-    # Not the number of a heartbeat, which has the same name.
+    # Counts orders, unlike the field of this name in heartbeats.
     sequence: int = 0
     running: int = 0
 
@@ -38,7 +38,7 @@
     stage: str
     holder: str
     fence: int
-    # The count of orders at which this one still holds.
+    # The order is valid only at this count of orders.
     expected_revision: int
 
 
@@ -46,7 +46,7 @@
 
 
 def decode_report(body: bytes) -> Report:
-    """A report; CodecError if it is none."""
+    """Decode a report; raises CodecError if it is malformed."""
     try:
         wire = _DECODER.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
@@ -62,7 +62,7 @@
 def change_role(
     role: types.Role, *, holder: str, fence: int, orders_taken: int
 ) -> bytes:
-    """The body of an order that changes an endpoint's role."""
+    """Encode an order to change an endpoint's role."""
     return msgspec.json.encode(
         _Order(
             operation="stage",
--- a/rackpost/platform/prefill.py
+++ b/rackpost/platform/prefill.py
@@ -1,4 +1,4 @@
-"""Prefill results on the wire: the answer, its use and its release."""
+"""Wire format of prefill results: the answer, its use and its release."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class PrefillResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a prompt's KV cache lies until it is fetched or lapses."""
+    """Identifies a prompt's KV cache until it is fetched or expires."""
 
     handle: str = msgspec.field(name="kvHandle")
     prompt_tokens: int = msgspec.field(default=0, name="tokens")
@@ -16,7 +16,7 @@
 
 
 def decode(body: bytes) -> PrefillResult:
-    """The answer to a prefill; CodecError if it is not one."""
+    """Decode the answer to a prefill; raises CodecError if malformed."""
     try:
         return _DECODER.decode(body)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
@@ -24,10 +24,10 @@
 
 
 def source(address: str, result: PrefillResult) -> bytes:
-    """How a decode endpoint is told where to fetch the KV cache."""
+    """Return the value that tells a decode endpoint where the KV cache is."""
     return f"{address}/{result.handle}".encode()
 
 
 def release_path(result: PrefillResult) -> bytes:
-    """The path whose DELETE frees the KV cache."""
+    """Return the path whose DELETE frees the KV cache."""
     return f"/v1/kv-handle/{result.handle}".encode()
--- a/rackpost/platform/settings.py
+++ b/rackpost/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into a type of our own."""
+"""Decodes the platform's settings file."""
 
 import os
 import pathlib
@@ -8,12 +8,12 @@
 from rackpost import exceptions
 from rackpost import types
 
-# Names the file; set by the platform for each process.
+# Environment variable with the file's path, set for each process.
 PATH_VARIABLE = "RACKPOST_BOOT"
 
 
 class Tolerance(msgspec.Struct, frozen=True, kw_only=True):
-    """VMs with a disk that may be lost at once with every promise kept."""
+    """VMs with a disk that may be lost at once without loss of data."""
 
     vms: int = msgspec.field(default=0, name="machines")
 
@@ -35,17 +35,17 @@
         "quota_slack": "quotaSlack",
     },
 ):
-    """Figures that the deployment promises or asks for.
+    """Service levels that the deployment promises or requires.
 
     Attributes:
-        retry_ratio, retry_slack: repeats that a service may get within
-            any `retry_window_s`: ratio x its requests + slack.
-        grace_s: from SIGTERM to SIGKILL.
-        lease_ms: orders of two holders are at least so far apart.
-        drain_ms: an endpoint that said it leaves gets nothing new after.
-        in_force_ms: from a change's acknowledgement to its effect.
-        quota_window_s, quota_overshoot, quota_slack: what organisations may
-            spend, in any window: their limit x (1 + overshoot) + slack.
+        retry_ratio, retry_slack: the retry budget of a service in any
+            `retry_window_s` is ratio x its requests + slack.
+        grace_s: time from SIGTERM to SIGKILL.
+        lease_ms: minimum time between orders of two holders.
+        drain_ms: time after which a draining endpoint gets no new requests.
+        in_force_ms: time from a change's acknowledgement to its effect.
+        quota_window_s, quota_overshoot, quota_slack: an organisation may
+            spend its limit x (1 + overshoot) + slack in any window.
     """
 
     retry_ratio: float = 0.1
@@ -61,7 +61,7 @@
 
 
 class VmLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What this VM has."""
+    """Resources of this VM."""
 
     memory_mb: float = msgspec.field(default=256, name="memoryMb")
     descriptors: int = msgspec.field(default=1024, name="maxFds")
@@ -77,13 +77,13 @@
 
 
 class HostSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What a process is told of its VM and its site.
+    """Settings of one process: its VM and its site.
 
     Attributes:
         first_start: the whole site starts for the first time.
-        seeds: control addresses of some coordinators, perhaps stale.
-        internal_ports: first and last port for our own links.
-        heartbeat_ms: how often endpoints tell that they live.
+        seeds: control addresses of some coordinators, possibly stale.
+        internal_ports: first and last port for links within the site.
+        heartbeat_ms: interval of the endpoints' heartbeats.
     """
 
     vm: types.VmId = msgspec.field(name="node")
@@ -105,7 +105,7 @@
 
 
 def decode(text: bytes) -> HostSettings:
-    """Settings from the file's text; ConfigError says what is wrong."""
+    """Decode the file's text; raises ConfigError with the reason."""
     try:
         return msgspec.json.decode(text, type=HostSettings)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
@@ -113,7 +113,7 @@
 
 
 def path() -> pathlib.Path:
-    """Where the file lies; ConfigError if nobody says."""
+    """Return the file's path; raises ConfigError if it is not set."""
     found = os.environ.get(PATH_VARIABLE)
     if not found:
         raise exceptions.ConfigError(f"{PATH_VARIABLE} is not set")
@@ -121,7 +121,7 @@
 
 
 def load() -> HostSettings:
-    """Read the file; ConfigError where it can't be read or is bad."""
+    """Read and decode the file; raises ConfigError."""
     where = path()
     try:
         return decode(where.read_bytes())
--- a/rackpost/platform/stages.py
+++ b/rackpost/platform/stages.py
@@ -1,4 +1,4 @@
-"""The platform's names of the endpoints' roles."""
+"""The platform's names of endpoint roles."""
 
 from rackpost import types
 
@@ -7,15 +7,15 @@
 
 
 def role_of(name: str) -> types.Role:
-    """The role of a stage; what is not known here is a plain endpoint."""
+    """Return the role of a stage; an unknown stage is a plain endpoint."""
     return _ROLES.get(name, types.Role.PLAIN)
 
 
 def is_known(name: str) -> bool:
-    """Whether a stage is one of the platform's; plain endpoints have none."""
+    """Whether a stage is known; plain endpoints have an empty one."""
     return not name or name in _ROLES
 
 
 def name_of(role: types.Role) -> str:
-    """The stage of a role that has one: prefill or decode."""
+    """Return the stage of a role; only prefill and decode have one."""
     return _NAMES[role]
--- a/rackpost/site_overview.py
+++ b/rackpost/site_overview.py
@@ -1,4 +1,4 @@
-"""A site as its coordinators see it, fetched and printed as tables."""
+"""Fetches a coordinator's overview of the site and prints it as tables."""
 
 from typing import Iterable
 import urllib.error
@@ -10,18 +10,19 @@
 from rackpost import exceptions
 
 PAGE = "/status"
-# A coordinator answers from memory; one that is cut off does not, in seconds.
+# A reachable coordinator answers at once, from memory.
 _TIMEOUT_S = 2.0
 
 
 def fetch(addresses: str) -> overview.Overview:
-    """What the first coordinator that answers knows.
+    """Fetch the overview from the first coordinator that answers.
 
-    `addresses` are `host:port` of their metrics, by commas.
+    `addresses` are the `host:port` of their metrics pages, separated by
+    commas.  Raises ControlError if none answers.
     """
     wanted = [item for item in addresses.split(",") if item]
     if not wanted:
-        raise exceptions.ConfigError("--coordinators names none")
+        raise exceptions.ConfigError("--coordinators names no address")
     last = ""
     for address in wanted:
         base = address if "//" in address else f"http://{address}"
@@ -38,12 +39,12 @@
 
 
 def to_json(found: overview.Overview) -> str:
-    """All of it, for programs."""
+    """Return the overview as JSON."""
     return msgspec.json.encode(found).decode()
 
 
 def status(found: overview.Overview) -> str:
-    """Who leads, who votes, and what is in force."""
+    """Return a summary: leader, members, document version and counts."""
     heard = "hears a quorum" if found.hears_quorum else "HEARS NO QUORUM"
     return "\n".join(
         (
@@ -60,7 +61,7 @@
 
 
 def routes(found: overview.Overview) -> str:
-    """The routes of the document that it holds."""
+    """Return a table of the routes."""
     rows = [
         (
             item.host + item.prefix,
@@ -91,7 +92,7 @@
 
 
 def endpoints(found: overview.Overview) -> str:
-    """The endpoints that it has heard of."""
+    """Return a table of the endpoints."""
     rows = [
         (
             item.id,
@@ -119,7 +120,7 @@
 
 
 def quotas(found: overview.Overview) -> str:
-    """What organisations used of their quotas in the last window."""
+    """Return a table of the organisations' quota use in the last window."""
     rows = [
         (
             item.organisation,
@@ -143,12 +144,12 @@
 
 
 def quarantined(found: overview.Overview) -> str:
-    """Requests under which endpoints ended, and for how much longer."""
+    """Return a table of the quarantined requests."""
     rows = [
         (item.fingerprint, ", ".join(item.endpoints), f"{item.left_s:g}")
         for item in found.held
     ]
-    return _table(("fingerprint", "ended under it", "held back s"), rows)
+    return _table(("fingerprint", "ended endpoints", "quarantined s"), rows)
 
 
 def _table(head: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> str:
