--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,8 +1,7 @@
-"""A small stand-in of the users' platform, over real loopback sockets.
+"""A small site over real loopback sockets, with simulated endpoints.
 
-Coordinators and gateways run in one event loop, each on a loopback
-address of its own; endpoints speak the platform's wire and can be told
-to misbehave.
+Coordinators and gateways run in one event loop, each on its own loopback
+address; endpoints speak the platform's protocol and can be made to fail.
 """
 
 import asyncio
@@ -27,10 +26,9 @@
 
 DATA_CENTRE = "hall-nord"
 
-# A fault fails a test after this long in place of hanging it, in seconds.
+# Makes a fault fail a test in place of hanging it.
 TIMEOUT_S = 30.0
-# Below the ports that systems give to outgoing connections; a site uses 13
-# ports on each of its loopback addresses.
+# Below the ephemeral ports; a site uses 13 ports on each loopback address.
 _FIRST_BASE = 10_000
 _LAST_BASE = 30_000
 _PORTS = 13
@@ -51,10 +49,10 @@
 
 
 def free_base() -> int:
-    """A first internal port from which all that a site needs are free.
+    """Return a base port from which all ports of a site are free.
 
-    Suites that run beside this one take others: a base that two chose at
-    random made a test fail once (address already in use).
+    Each process tries the bases in another order, so that test suites that
+    run side by side do not collide.
     """
     bases = list(range(_FIRST_BASE, _LAST_BASE, _PORTS))
     random.Random(os.getpid()).shuffle(bases)
@@ -140,7 +138,7 @@
         yield running
 
 
-# What endpoints always send in a heartbeat.
+# The fields that endpoints always send in a heartbeat.
 HEARTBEAT = {
     "service": "plain",
     "address": "10.0.0.1:80",
@@ -156,13 +154,13 @@
 
 
 def vouching_headers(req: message.Request) -> list[message.Header]:
-    """What an endpoint must put on each answer that it vouches for."""
+    """Headers that an endpoint must set on each answer it vouches for."""
     ident = message.find(req.headers, b"x-request-id") or b""
     return [(b"x-request-id", ident), (b"x-response-seal", b"seal")]
 
 
 class Endpoint:
-    """An endpoint that answers as its `answer` says."""
+    """An endpoint whose handler is `answer`."""
 
     def __init__(self, *, ident: str, service: str, stage: str = "") -> None:
         self.ident = ident
@@ -172,7 +170,7 @@
         self.requests: list[message.Request] = []
         self.address = ""
         self.answer: Answer = self.default_answer
-        # What it adds to the headers of its usual answers.
+        # Additional headers of the default answers.
         self.extra_headers: list[message.Header] = []
 
     def _headers(self, req: message.Request) -> list[message.Header]:
@@ -289,7 +287,7 @@
 
 
 class Operator:
-    """Calls coordinators as operators and endpoints do: until answered."""
+    """Sends coordinators the requests of operators and endpoints."""
 
     def __init__(self, *, plan: Plan, http: aiohttp.ClientSession) -> None:
         self.plan = plan
@@ -329,7 +327,7 @@
 async def until(
     what: Callable[[], bool], timeout_s: float = TIMEOUT_S
 ) -> None:
-    """Wait until something holds; fails the test if it never does."""
+    """Wait for a condition; fail the test if it is not met in time."""
     async with asyncio.timeout(timeout_s):
         while not what():
             await asyncio.sleep(0.01)
@@ -370,7 +368,7 @@
 async def small_site(
     root: pathlib.Path, policy: policy_mod.Policy = policy_mod.Policy()
 ) -> AsyncIterator[Site]:
-    """A site that serves."""
+    """Run a site with a document and registered endpoints."""
     plan = Plan(root=root)
     site = Site(plan=plan)
     core = plan.host(11, kind="core", seeds=(11,), lost=0)
--- a/tests/slow_link.py
+++ b/tests/slow_link.py
@@ -1,7 +1,7 @@
-"""One gateway's slow link to several coordinators, in virtual time.
+"""Simulates one gateway's slow link to several coordinators, in virtual time.
 
-Connections take turns on the link, a packet each; within a connection
-everything, keepalives too, waits behind what was sent before it.
+Connections share the link packet by packet; within a connection all data,
+including keepalives, is sent in order.
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 from rackpost.platform import settings
 from rackpost.state import commands
 
-# Bytes of one packet, and of a keepalive.
+# Bytes of a packet and of a keepalive.
 _PACKET = 1460
 _PING = 6
-# One way, in seconds; towards coordinators the link is never full.
+# One-way delay; the direction towards coordinators is never saturated.
 _DELAY_S = 0.001
-# A connection that was lost is up again after this, in seconds.
+# Time until a lost connection is up again.
 _AGAIN_S = 0.2
 
 
 class _End(channel.Channel):
-    """One end of a connection; `put` takes what is sent."""
+    """One end of a connection; sent messages are passed to `put`."""
 
     def __init__(self, *, put: Callable[[Any], None]) -> None:
         super().__init__()
@@ -53,7 +53,7 @@
             self._deliver(msg)
 
     async def run(self) -> None:
-        """Messages move by themselves."""
+        """Do nothing; messages are delivered by the simulation."""
 
 
 class _Connection:
@@ -63,7 +63,7 @@
         self._loop = loop
         self.near = _End(put=self._up)
         self.far = _End(put=self._down)
-        # What is on its way down: what is left of it in bytes, and what.
+        # Items in flight to the gateway: remaining bytes, and the content.
         self.queue: collections.deque[list] = collections.deque()
         self.answered = 0
         self.silent = False
@@ -94,7 +94,7 @@
 
 
 class SlowLink:
-    """A gateway, coordinators, and the link of the gateway between them."""
+    """A gateway and its slow link to coordinators."""
 
     def __init__(
         self, *, edge: settings.HostSettings, bytes_per_s: float
@@ -105,14 +105,13 @@
         self.links = control_links.ControlLinks(site=self.site)
         self._conns: dict[process.Coordinator, _Connection] = {}
         self._tasks: list[asyncio.Task[None]] = []
-        # What the gateway has been sent, in bytes, and the longest that a
-        # keepalive took, in seconds.
+        # Bytes sent to the gateway, and the longest delay of a keepalive.
         self.bytes_down = 0
         self.longest_ping_s = 0.0
         self.lost = 0
 
     def start(self, coordinators: list[process.Coordinator]) -> None:
-        """Link the gateway to these, and keep it linked."""
+        """Link the gateway to these coordinators, and keep it linked."""
         self._tasks.append(self._loop.create_task(self._move()))
         for one in coordinators:
             self._tasks.append(self._loop.create_task(self._keep(one)))
@@ -126,7 +125,7 @@
             conn.close()
 
     def silence_senders(self) -> None:
-        """Whoever sends a part of a document says nothing any more."""
+        """Stop all traffic from coordinators that are sending a chunk."""
         for conn in self._conns.values():
             if any(
                 len(item[1]) > _PACKET
@@ -148,7 +147,7 @@
             await asyncio.sleep(_AGAIN_S)
 
     async def _while_answered(self, conn: _Connection) -> None:
-        """Ping as links do; returns when a ping has no answer in time."""
+        """Ping as links do; return when a ping is not answered in time."""
         patience = links.TIMEOUTS
         while True:
             await asyncio.sleep(patience.ping_s)
@@ -159,7 +158,7 @@
                 return
 
     async def _move(self) -> None:
-        """Packets of all connections in turn, at the rate of the link."""
+        """Send packets of all connections in turn at the link's rate."""
         while True:
             busy = [conn for conn in self._conns.values() if conn.queue]
             if not busy:
@@ -189,7 +188,7 @@
 def apply_document(
     coordinators: list[process.Coordinator], version: int, source: bytes
 ) -> None:
-    """A document is committed and applied at all coordinators."""
+    """Apply a document at all coordinators as if it were committed."""
     cmd = commands.SetRouting(version=version, source=source)
     for one in coordinators:
         before = one.node.machine.revision
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -1,4 +1,4 @@
-"""Coordinators over real sockets: from the seeds to a lost disk."""
+"""Coordinators over real sockets: start, membership and lost disks."""
 
 import asyncio
 import contextlib
@@ -39,10 +39,10 @@
         shutil.rmtree(self.plan.root / f"core-{number}")
 
     def voters(self) -> set[str]:
-        """Who votes, once all that run know it and a leader is heard.
+        """Return the voters, once all running nodes agree on them.
 
-        A leader knows of a change as soon as it proposes it; a test that
-        took its word wiped two disks before the change was committed.
+        A leader alone is not enough: it applies a change when it proposes
+        it, before the change is committed.  Empty until then.
         """
         nodes = [one.node for one in self.up.values()]
         known = {frozenset(node.config.voters) for node in nodes}
@@ -52,13 +52,13 @@
         return set(known.pop()) if led and len(known) == 1 else set()
 
     async def put_version(self, number: int, version: int) -> dict:
-        """Have a node take a document; what it was sent."""
+        """Send a node a document until it is accepted; return it."""
         doc = platform_site.document(version)
         await self.operator.put_until_accepted(number, doc)
         return doc
 
     async def read(self, number: int) -> dict:
-        """The document that a node tells, once it tells one."""
+        """Return a node's document, once it answers with one."""
         async with asyncio.timeout(platform_site.TIMEOUT_S):
             while True:
                 status, doc = await self.operator.get(number)
@@ -73,7 +73,7 @@
 
 @contextlib.asynccontextmanager
 async def group(root: pathlib.Path) -> AsyncIterator[Group]:
-    """All coordinators of a site, each of which votes."""
+    """Run all coordinators of a site, each of them a voter."""
     plan = platform_site.Plan(root=root)
     async with aiohttp.ClientSession() as http:
         operator = platform_site.Operator(plan=plan, http=http)
@@ -126,7 +126,7 @@
                 lambda: len(found.voters()) == 5
                 and not found.voters() & {"127.0.0.11", "127.0.0.12"}
             )
-            # The new voters count: two others may be lost now.
+            # The new voters count: the site tolerates two further losses.
             for number in (13, 14):
                 await found.stop(number)
                 found.wipe(number)
@@ -172,7 +172,7 @@
 def test_a_gateway_is_told_the_document_before_there_is_a_quorum(
     tmp_path: pathlib.Path,
 ) -> None:
-    """After all have restarted; reads still wait for the quorum."""
+    """After a restart of all nodes, only reads wait for a quorum."""
 
     async def main() -> None:
         async with group(tmp_path) as found:
@@ -213,11 +213,11 @@
 def test_a_gateway_passes_news_on_to_coordinators_that_are_apart(
     tmp_path: pathlib.Path,
 ) -> None:
-    """In a cut core the leader did not know which endpoints had left."""
+    """Guards against a partitioned leader that misses endpoints' updates."""
 
     async def main() -> None:
         plan = platform_site.Plan(root=tmp_path)
-        # Two sites that know nothing of each other, one gateway for both.
+        # Two separate coordinators, and one gateway linked to both.
         async with contextlib.AsyncExitStack() as stack:
             enter = stack.enter_async_context
             http = await enter(aiohttp.ClientSession())
@@ -250,7 +250,7 @@
 def test_a_document_that_is_sent_again_is_not_committed_again(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Each resend put the whole into the log, and on all disks, once more."""
+    """Guards against resent documents that fill the log and the disks."""
 
     async def main() -> None:
         async with group(tmp_path) as found:
@@ -261,7 +261,7 @@
             for _ in range(5):
                 assert await found.operator.put(13, doc) == 200
             assert one.node.mark == mark
-            # Without a quorum too: what is committed stays so.
+            # Also without a quorum: the version is already committed.
             for number in (11, 12, 14):
                 await found.stop(number)
             assert await found.operator.put(13, doc) == 200
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -1,8 +1,4 @@
-"""Whose heartbeats came, told in few bytes.
-
-The pattern: hundreds of endpoints, all of them well, whose heartbeats come
-each second, and each gateway is told of each of them.
-"""
+"""Heartbeat notices by digests: which endpoints they mark, and their size."""
 
 from rackpost.coordinator import messages
 from rackpost.link import codec
@@ -11,7 +7,7 @@
 from rackpost import types
 from tests import test_eligibility
 
-# What a node may spend on control, in bytes a second.
+# Budget of a node for control traffic, in bytes a second.
 _ALLOWED = 5000
 _HEARTBEAT_S = 1.2
 
@@ -73,7 +69,7 @@
 
 
 def test_heartbeats_of_600_endpoints_fit_what_control_may_cost() -> None:
-    """As ids they took 7.8 KB a second of each gateway's link."""
+    """Guards against notices with whole ids, which exceed the budget."""
     keys = [types.EndpointId(f"i-{at:010x}") for at in range(600)]
     data = codec.encode(messages.HeartbeatNotice(digests=digests.pack(keys)))
     assert len(data) / _HEARTBEAT_S < _ALLOWED / 2
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Whose heartbeats a coordinator hears of, and what that costs."""
+"""A coordinator's queries about silent endpoints, and their cost."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 
 class Gateway:
-    """A gateway's end of a link, which notes what it is told."""
+    """A gateway's end of a link, which records the messages it receives."""
 
     def __init__(self, *, number: int) -> None:
         self.vm = types.VmId(f"edge-{number}")
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("count", [100, 370])
 def test_nobody_is_asked_of_endpoints_that_are_heard(count: int) -> None:
-    """With 1,000 endpoints: no message, whatever the number of gateways."""
+    """With 1,000 endpoints and any number of gateways, no message is sent."""
 
     async def main() -> None:
         found, gateways = linked(count)
@@ -76,7 +76,7 @@
 
 
 def test_a_few_gateways_are_asked_of_those_that_are_silent() -> None:
-    """Half of the coordinators are cut off: 400 of 1,000 are not heard."""
+    """During a partition 400 of 1,000 endpoints are silent here."""
 
     async def main() -> None:
         found, gateways = linked(100)
@@ -103,7 +103,7 @@
 
 
 def test_an_end_ends_the_life_that_was_heard_and_no_later_one() -> None:
-    """It has started again, which its old coordinator does not know yet."""
+    """The endpoint has restarted, unknown to its old coordinator."""
 
     async def main() -> None:
         here, _ = linked(1)
--- a/tests/test_document_updates.py
+++ b/tests/test_document_updates.py
@@ -1,8 +1,7 @@
-"""Changes through coordinators that lag, fall silent and start again.
+"""Routing updates from coordinators that lag, fall silent and restart.
 
-Whatever happens on the way, a gateway's routes are at each moment exactly
-those of one version, its version never goes back, and in the end it has the
-newest.
+At each moment a gateway's routes are exactly those of one version, its
+version never decreases, and in the end it has the newest one.
 """
 
 import random
@@ -18,7 +17,7 @@
 from rackpost.routing import model
 from tests import test_routing_changes
 
-# Small parts, so that each change takes several.
+# Small, so that each change takes several chunks.
 PART_BYTES = 200
 NAMES = ("a", "b", "c")
 STEPS = 400
@@ -36,11 +35,11 @@
         self.fetch = document_fetch.DocumentFetch(rng=self.rng)
         self.table = match.RouteTable()
         self.now = 0.0
-        # Answers on their way: when, of whom, and what.
+        # Answers in flight: arrival time, sender and chunk.
         self.way: list[tuple[float, str, messages.RoutingChunk]] = []
 
     def new_document(self) -> None:
-        """A version that follows the last, with some routes changed."""
+        """Add a version that follows the last, with some routes changed."""
         version = max(self.docs, default=0) + self.rng.randint(1, 4)
         routes = {
             key: self.rng.randint(1, 2)
@@ -50,7 +49,7 @@
         self.docs[version] = test_routing_changes.document(version, routes)
 
     def catch_up(self, name: str) -> None:
-        """A coordinator applies some of what it lacks, at once."""
+        """Let a coordinator skip to one of the versions that it lacks."""
         feed = self.feeds[name]
         missing = [v for v in self.docs if v > feed.version]
         if missing:
@@ -59,7 +58,7 @@
         self.fetch.record_version(name, feed.version)
 
     def disturb(self) -> None:
-        """Something goes wrong with one coordinator."""
+        """Inject a fault at one coordinator."""
         name = self.rng.choice(NAMES)
         kind = self.rng.randrange(4)
         if kind == 0:
@@ -68,7 +67,7 @@
             self.fetch.remove_peer(name)
             self.way = [item for item in self.way if item[1] != name]
         elif kind == 2:
-            # It has started again, and knows the newest alone.
+            # A restart: it knows only its newest version.
             feed = routing_feed.RoutingFeed()
             if self.feeds[name].version:
                 feed.publish(self.docs[self.feeds[name].version])
@@ -79,7 +78,7 @@
             self.catch_up(name)
 
     def step(self) -> None:
-        """Time passes: answers come, and what is due is asked."""
+        """Advance the time: deliver answers and send the next request."""
         self.now += 0.05
         due = [item for item in self.way if item[0] <= self.now]
         self.way = [item for item in self.way if item[0] > self.now]
@@ -96,7 +95,7 @@
             self.way.append((self.now + late, ask.peer, answer))
 
     def use(self, data: bytes) -> None:
-        """Put what has come in force, as a gateway does."""
+        """Apply a complete transfer, as a gateway does."""
         before = self.table.version
         change = changes.decode(data)
         if change.version <= before:
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under their id, and what is no heartbeat."""
+"""Endpoints that restart under the same id, and invalid heartbeats."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 
 def test_a_later_life_counts_anew() -> None:
-    """Its sequence begins again, and it may be ready after a drain."""
+    """Its sequence starts anew, and it may be ready after a drain."""
     table = endpoints.EndpointTable()
     table.update(heartbeat(sequence=90, born=1000, state="draining"), 1.0)
     assert table.update(heartbeat(sequence=1, born=2000), 2.0)
@@ -49,7 +49,7 @@
 def test_one_that_ended_returns_in_a_later_life_only() -> None:
     table = endpoints.EndpointTable()
     table.update(heartbeat(sequence=5, born=1000), 1.0)
-    # It does not say which of its lives ends.
+    # The notice does not name the incarnation that ends.
     assert table.update(heartbeats.gone(_ID), 2.0)
     assert table.ended() == [endpoints.Incarnation(_ID, 1000)]
     assert not table.update(heartbeat(sequence=9, born=1000), 3.0)
@@ -193,7 +193,7 @@
 def test_a_service_that_is_not_in_the_document_names_no_endpoint(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Nor does it drive out who serves at its address."""
+    """Nor does it replace the endpoint that serves at its address."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -201,7 +201,7 @@
             other.address = site.plain[0].address
             assert await site.operator.send_heartbeat(11, other) == 400
             assert "p0" in site.coordinator.directory.table.alive
-            # Its service goes from the document: it may say that it leaves.
+            # Its service is removed: it may still announce that it drains.
             doc = platform_site.document(2)
             doc["routes"] = doc["routes"][2:]
             doc["services"] = doc["services"][1:]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys: documents that name them, and changes of them."""
+"""Callers' keys in routing documents and in changes of documents."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 
 def organisation(name: str, *shown: str, **more: object) -> dict:
-    """An organisation as operators write it."""
+    """Return an organisation as in an operator's document."""
     found = {
         "name": name,
         "apiKeys": list(shown),
@@ -31,7 +31,7 @@
 
 
 def document(version: int, organisations: list[dict] | None) -> model.Document:
-    """A document in which these organisations have keys."""
+    """Return a document with these organisations."""
     doc = platform_site.document(version)
     if organisations is not None:
         doc["tenants"] = organisations
@@ -46,7 +46,7 @@
 
 
 def holder(found: match.RouteTable, key: str) -> str:
-    """Whose key it is; "" if it is nobody's."""
+    """Return the name of a key's organisation; "" if there is none."""
     item = found.organisations.find(keys.digest(key.encode()))
     return "" if item is None else item.name
 
@@ -120,7 +120,7 @@
 def test_changes_lead_from_any_keys_to_any_later_ones(
     versions: list[dict[str, int] | None],
 ) -> None:
-    """Also where organisations, or all keys, come and go."""
+    """Also where organisations, or all keys, are added and removed."""
     docs = [
         document(
             at + 1,
@@ -161,7 +161,7 @@
 
 
 def test_one_key_more_costs_what_it_is() -> None:
-    """Of 630 organisations with two keys each, one gets a third."""
+    """One of 630 organisations with two keys each gets a third key."""
     held = [
         organisation(f"organisation-{at}", f"{at}-1", f"{at}-2")
         for at in range(630)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: what is decoded, and that its names stay inside it."""
+"""The platform adapter: decoding, and wire names kept inside of it."""
 
 import json
 import pathlib
@@ -13,7 +13,7 @@
 from rackpost.platform import settings
 
 ROOT = pathlib.Path(__file__).parent.parent
-# Names that mean something only on the platform's wire.
+# Names of the platform's wire protocol.
 WIRE = re.compile(
     "heartbeatUrl|X-Response-Seal|X-Not-Executed|kvHandle|X-Kv-Source|"
     "coldRemainingMs|trafficSplit|X-Expect-Instance|RACKPOST_BOOT|"
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""Roles of endpoints follow the demand; orders come from one holder."""
+"""Endpoint roles follow the demand; only the leader orders changes."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 from tests import test_backoff
 
 SERVICE = types.ServiceName("model")
-# An order is given within this, in seconds.
+# Limit until an order is given.
 _MOST_S = 20
 Beat = Callable[[], Awaitable[None]]
 
@@ -37,34 +37,34 @@
 def test_a_role_is_changed_only_where_it_helps_much() -> None:
     assert role(2, 1, (0.5, 1.7)) is types.Role.DECODE
     assert role(2, 3, (0.5, 1.7)) is None
-    # Trial of scale-1: with one prefill endpoint of five more were late.
+    # One prefill endpoint of five would be too few.
     assert role(2, 3, (0.9, 3.9)) is None
-    # The pool that gives one has room to spare: half as much again is won.
+    # The prefill pool has spare capacity; decode gains half as much again.
     assert role(2, 2, (0.64, 4.09)) is types.Role.DECODE
-    # The pool that gives one would be too full meanwhile, if by less.
+    # The prefill pool would be overloaded during the change.
     assert role(2, 2, (0.76, 3.97)) is None
-    # The other way a full pool would lack one for seconds.
+    # A full decode pool must not lose an endpoint for seconds.
     assert role(2, 2, (1.3, 1.2)) is None
     assert role(1, 1, (0.5, 5.0)) is None
     assert role(1, 4, (1.5, 1.0)) is types.Role.PREFILL
-    # Nobody asks for anything: nothing is too full.
+    # Without demand no pool is overloaded.
     assert role(0, 3, (0.0, 0.0)) is None
     assert role(0, 3, (0.1, 0.5)) is types.Role.PREFILL
     assert role(2, 0, (0.1, 0.5)) is types.Role.DECODE
-    # One of few full endpoints was taken away, for nine seconds.
+    # One of few full endpoints must not be taken away.
     assert role(0, 2, (0.83, 3.51)) is None
-    # Of three it pays, however full they are.
+    # With three endpoints the change pays, however full they are.
     assert role(0, 3, (0.64, 4.09)) is types.Role.PREFILL
-    # Of many it pays.
+    # With many endpoints the change pays.
     assert role(0, 6, (2.0, 2.0)) is types.Role.PREFILL
-    # The last endpoint was left to prefill, for nobody to go on with.
+    # A last endpoint that prefills is useless without a decode endpoint.
     assert role(1, 0, (0.1, 0.5)) is types.Role.DECODE
     assert role(0, 1, (0.1, 0.5)) is None
     assert role(0, 1, (0.9, 5.0)) is None
 
 
 def test_large_pools_are_changed_step_by_step() -> None:
-    """One step of many gained too little, so that none was made."""
+    """Guards against no change at all where each step gains little."""
     prefill, steps = 8, 0
     while role(prefill, 22 - prefill, (0.9, 15.0)) is types.Role.DECODE:
         prefill -= 1
@@ -74,7 +74,7 @@
 
 
 def test_a_balanced_site_is_left_alone_at_every_demand() -> None:
-    """What was just changed is not changed back."""
+    """A change of role is not reverted at the same demand."""
     for prefill in range(1, 20):
         for decode in range(1, 20):
             work = (prefill / 4, decode / 4)
@@ -104,24 +104,24 @@
 
 
 def test_a_gateway_that_has_just_started_knows_no_demand() -> None:
-    """It told a third of the decode work, and a decode endpoint was taken."""
+    """Guards against changes of role on a partial measurement."""
     meter = role_balance.DemandMeter(began=0.0)
     known = known_pace(token_s=0.001, made_s=0.01)
-    # Nobody has asked for anything: that is known.
+    # No demand is known demand.
     assert meter.demand(SERVICE, 1.0, token_timing.TokenTiming()).is_known
     for at in (0.5, 1.0, 1.5, 2.0):
         meter.add(at, prompt=600, out=1200, share=0.5)
     assert not meter.demand(SERVICE, 2.0, known).is_known
     assert not meter.demand(SERVICE, 4.0, token_timing.TokenTiming()).is_known
-    # What was asked before the pace was known counts at that pace, and
-    # over the time that was counted.
+    # Earlier requests count at the pace that became known later, over the
+    # measured time.
     found = meter.demand(SERVICE, 4.0, known)
     assert found.is_known
     assert abs(found.decode - 4 * 6.0 / 4.0) < 1e-9
 
 
 def test_no_role_is_changed_on_a_demand_that_is_not_known() -> None:
-    """Seconds after a restart: 0.87 endpoints' work was told of 2.9."""
+    """Guards against changes of role just after a restart."""
 
     def wanted(pools: role_balance.Pools) -> types.Role | None:
         demand = role_balance.Demand(
@@ -131,7 +131,7 @@
 
     assert wanted(role_balance.Pools(prefill=1, decode=3)) is None
     assert wanted(role_balance.Pools(prefill=0, decode=3)) is None
-    # Nobody decodes, so that nobody can ever know.
+    # Without a decode endpoint the demand can never become known.
     last = wanted(role_balance.Pools(prefill=1, decode=0))
     assert last is types.Role.DECODE
 
@@ -161,7 +161,7 @@
 
 
 class Ordered(platform_site.Endpoint):
-    """An endpoint that takes orders."""
+    """An endpoint that accepts and records orders."""
 
     def __init__(self, *, ident: str, stage: str) -> None:
         super().__init__(ident=ident, service="model", stage=stage)
@@ -191,7 +191,7 @@
 async def ordering(
     root: pathlib.Path, group: list[Ordered]
 ) -> AsyncIterator[tuple[coordinator_process.Coordinator, Beat]]:
-    """A coordinator that leads, and endpoints that it hears of."""
+    """Run a coordinator that leads, and endpoints that it knows."""
     plan = platform_site.Plan(root=root)
     core = plan.host(11, kind="core", seeds=(11,), lost=0)
     async with contextlib.AsyncExitStack() as stack:
@@ -215,7 +215,7 @@
     running: coordinator_process.Coordinator,
     beat: Beat,
 ) -> None:
-    """Ask for more decode endpoints until something has been ordered."""
+    """Report demand for decode endpoints until an order was given."""
     async with asyncio.timeout(_MOST_S):
         while not ordered():
             running._roles.record_demand(types.VmId("e"), (DEMAND,))
@@ -224,7 +224,7 @@
 
 
 def two_that_prefill() -> list[Ordered]:
-    """Three endpoints, of which one should decode in place of prefilling."""
+    """Return two prefill endpoints, one too many, and a decode endpoint."""
     return [
         Ordered(ident="p0", stage="prefill"),
         Ordered(ident="p1", stage="prefill"),
@@ -244,9 +244,9 @@
             given = [one for one in group if one.orders]
             assert [one.stage for one in given] == ["prefill"]
             assert running._roles.changing == (given[0].ident,)
-            # The next imbalance must last from its own beginning.
+            # The next imbalance is timed from its own start.
             assert SERVICE not in running._roles._since
-            # Connections that orders were given on were kept for ever.
+            # Idle connections of past orders must be closed.
             pool = running._roles._orders._pool
             await platform_site.until(lambda: not pool._idle)
             order = given[0].orders[0]
@@ -266,7 +266,7 @@
 
 
 def test_many_gateways_know_their_demand_though_one_has_just_begun() -> None:
-    """Of 68 gateways one has always had its first request just now."""
+    """Among 68 gateways some have always just received a first request."""
 
     def told(asked: float, *, is_known: bool = True) -> role_balance.Demand:
         work = asked if is_known else 0.0
@@ -283,7 +283,7 @@
     assert found.is_known
     assert abs(found.prefill - 0.1 * 0.2 * 68) < 1e-9
     assert abs(found.decode - 0.4 * 0.2 * 68) < 1e-9
-    # Nobody asks, or only those who have just started are asked.
+    # No demand at all; then demand mostly at gateways that just started.
     assert role_balance.total(SERVICE, [told(0.0)] * 3).is_known
     few = [told(0.2)] * 20 + [told(0.2, is_known=False)] * 48
     assert not role_balance.total(SERVICE, few).is_known
@@ -293,28 +293,27 @@
 
 
 def test_a_pool_with_room_to_spare_gives_before_a_crowd_comes() -> None:
-    """Six of sixteen prefill, and a crowd fills the ten that decode.
+    """An idle pool gives an endpoint away early.
 
-    The six are half idle meanwhile; a change takes longer than the crowd
-    stays.
+    A change of role takes longer than a burst of requests lasts.
     """
     usual = (1.35, 6.3)
     prefill = 6
     while role(prefill, 16 - prefill, usual) is types.Role.DECODE:
         prefill -= 1
     assert prefill == 4
-    # A tenth less is asked: still fuller than a crowd allows.
+    # A tenth less demand still leaves too little capacity for a burst.
     assert role(6, 10, (1.2, 5.6)) is types.Role.DECODE
-    # Little is asked: a crowd fits.
+    # At low demand a burst fits.
     assert role(6, 10, (0.8, 4.0)) is None
-    # Of five one is a large part, and a small gain does not pay.
+    # One of five endpoints is a large share for a small gain.
     assert role(2, 3, (0.3, 1.5)) is None
 
 
 def test_an_endpoint_that_asks_for_time_is_given_no_order(
     tmp_path: pathlib.Path,
 ) -> None:
-    """It was asked for a report again and again, and no other was ordered."""
+    """Guards against repeated requests that also block other endpoints."""
 
     async def main() -> None:
         group = two_that_prefill()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes and endpoints: what is accepted, what is found, what is late."""
+"""Validation and matching of routes, and the order of heartbeats."""
 
 import json
 import random
@@ -91,7 +91,7 @@
 
 
 def test_what_is_read_after_another_document_is_the_same_as_alone() -> None:
-    """Routes written as before are not read again; a bad one harms none."""
+    """Unchanged routes are reused; a refused document changes nothing."""
     reader = documents.IncrementalDecoder()
     first = platform_site.document(1)
     text = json.dumps(first).encode()
@@ -102,7 +102,7 @@
     for name in ("same place", "cut short", "no timeout"):
         with pytest.raises(exceptions.RoutingError):
             reader.decode(_bad(name))
-    # A service that a route still names has gone.
+    # A route names a removed service.
     with pytest.raises(exceptions.RoutingError):
         reader.decode(json.dumps({**first, "services": []}).encode())
     text = json.dumps(second).encode()
@@ -142,7 +142,7 @@
 
 
 def test_a_restarted_endpoint_replaces_its_forerunner() -> None:
-    """A crash says nothing: the old id kept its place and got requests."""
+    """Guards against requests for the old id of a crashed endpoint."""
     table = endpoints.EndpointTable()
     table.update(_endpoint(ident="old", sequence=8), 1.0)
     assert table.update(_endpoint(ident="new"), 2.0)
--- a/tests/test_routing_changes.py
+++ b/tests/test_routing_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the routing document, and the parts that they are sent in."""
+"""Changes of the routing document, and the chunks they are sent in."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 
 def document(version: int, routes: dict[int, int]) -> model.Document:
-    """A document with these routes, each with a time-out in ms."""
+    """Return a document with these routes, each with a timeout in ms."""
     doc = platform_site.document(version)
     first = doc["routes"][0]
     doc["routes"] = [
@@ -28,7 +28,7 @@
 
 
 def table(*steps: changes.Change) -> match.RouteTable:
-    """What a gateway has after these."""
+    """Return a gateway's table after these changes."""
     found = match.RouteTable()
     for step in steps:
         found.apply(step)
@@ -36,7 +36,7 @@
 
 
 def says(found: match.RouteTable, doc: model.Document) -> bool:
-    """Whether a table is what a document says."""
+    """Whether a table has exactly the content of a document."""
     routes = [found.find(route.host, route.prefix) for route in doc.routes]
     return (
         found.version == doc.version
@@ -69,7 +69,7 @@
 def test_a_change_that_does_not_fit_is_refused() -> None:
     docs = [document(at, {at: 1}) for at in (1, 2, 3)]
     change = changes.diff(docs[1], docs[2])
-    # The last has the version but other routes.
+    # The last one has the right version but other routes.
     other = [docs[0], document(2, {7: 1, 8: 1})]
     for doc in other:
         found = table(changes.from_empty(doc))
@@ -89,7 +89,7 @@
 
 
 def feed(*docs: model.Document) -> routing_feed.RoutingFeed:
-    """A feed that has had these."""
+    """Return a feed that has published these documents."""
     found = routing_feed.RoutingFeed()
     for doc in docs:
         found.publish(doc)
@@ -97,7 +97,7 @@
 
 
 def many(version: int, count: int) -> model.Document:
-    """A document whose change from another takes several parts."""
+    """Return a document whose change from another takes several chunks."""
     return document(
         version, {at: version * 7 + at % 991 for at in range(count)}
     )
@@ -106,7 +106,7 @@
 def fetched(
     found: routing_feed.RoutingFeed, have: int
 ) -> tuple[list[messages.RoutingChunk], changes.Change]:
-    """All parts for who has a version, and the change that they make."""
+    """Return all chunks for a held version, and the decoded change."""
     parts: list[messages.RoutingChunk] = []
     asked = messages.FetchRouting(held_version=have)
     while True:
@@ -153,14 +153,14 @@
     second = found.chunk(asked)
     assert second is not None
     assert (second.digest, second.offset) == (first.digest, len(first.data))
-    # One that has started again knows nothing of it, and begins anew.
+    # A restarted coordinator does not know the transfer and starts another.
     other = feed(many(2, 3001)).chunk(asked)
     assert other is not None
     assert (other.version, other.offset) == (2, 0)
 
 
 def test_what_coordinators_send_of_one_change_is_the_same() -> None:
-    """So that the rest of a transfer comes from any other one."""
+    """So that any other coordinator can continue a transfer."""
     docs = [many(1, 3000), many(2, 6001)]
     parts, _ = fetched(feed(*docs), 0)
     asked = messages.FetchRouting(
@@ -183,7 +183,7 @@
 def test_a_change_is_made_once_for_all_gateways_that_need_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Hundreds of gateways ask for the same within a few milliseconds."""
+    """Guards against encoding the same change once for each gateway."""
     made = []
     encode = changes.encode
     joined = changes.merge
@@ -199,5 +199,5 @@
         assert (
             found.chunk(messages.FetchRouting(held_version=have)) is not None
         )
-    # From 3, from 5, and the whole for who has none or an unknown one.
+    # From 3, from 5, and the whole for no version or an unknown one.
     assert sorted(made) == ["e", "e", "e", "j", "j"]
--- a/tests/test_site_overview.py
+++ b/tests/test_site_overview.py
@@ -1,4 +1,4 @@
-"""What an operator sees of a site from a terminal."""
+"""The operator's commands that show the state of a site."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            # One that does not answer is passed over.
+            # An unreachable coordinator is skipped.
             where = f"127.0.0.1:1,{_address(site)}"
 
             async def run(*words: str) -> str:
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -1,9 +1,7 @@
-"""A VM that is suspended for seconds, and wakes without having noticed.
+"""A suspended VM must count the time of its suspension.
 
-The steady clock stands still meanwhile, so that whatever it knew seems as
-fresh as before: leases that others have long taken over, a quorum last heard
-of, quotas' windows, the ages of figures.  All of them count by the clock of
-the event loop, which therefore has to count that time.
+Guards against leases, quorum contacts and other state that seem fresh after a
+suspension because the monotonic clock stood still.
 """
 
 import asyncio
@@ -26,19 +24,16 @@
 from tests import platform_site
 
 _SUSPENDED_S = 7.0
-# What the steady clock reads, at any moment.
+# The constant reading of the monotonic clock.
 _STEADY_S = 1000.0
 
 
 class _Clocks:
-    """The host's clocks, of which one counts the time it is suspended.
-
-    Nothing else moves them, so that a test does not lean on the wall clock.
-    """
+    """Fake clocks of a host; only the boot clock counts suspended time."""
 
     def __init__(self) -> None:
         self._suspended_s = 0.0
-        # What the loop's clock counted from before to after.
+        # Time on the event loop's clock across each suspension.
         self.passed_s: list[float] = []
 
     def clock_gettime(self, clock: int) -> float:
@@ -50,7 +45,7 @@
         self._suspended_s += _SUSPENDED_S
 
     async def main(self, *args: object) -> None:
-        """What a program does: it is suspended, and wakes."""
+        """Run a program that is suspended once."""
         loop = asyncio.get_running_loop()
         before = loop.time()
         self.suspend()
@@ -68,7 +63,7 @@
     monkeypatch.setattr(logs, "to_stream", lambda: None)
     monkeypatch.setattr(logs, "to_stdout", lambda **common: output)
     monkeypatch.setattr(settings, "load", lambda: host)
-    # A program of a site ends without waiting for its threads.
+    # Programs of a site exit without waiting for their threads.
     monkeypatch.setattr(os, "_exit", lambda code: None)
     program.run(clocks.main)
     site_program.run(logs.Part.GATEWAY, clocks.main)
@@ -76,7 +71,7 @@
 
 
 class _SlowOrders(role_orders.OrderSender):
-    """An endpoint's report comes just before the VM is suspended."""
+    """Suspends the VM just after an endpoint's report."""
 
     def __init__(self, *, clocks: _Clocks) -> None:
         table = endpoints.EndpointTable()
@@ -105,7 +100,7 @@
 def test_who_was_suspended_before_an_order_does_not_give_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Another leads by then, and its orders count."""
+    """Another coordinator may lead by then."""
     clocks = _Clocks()
     monkeypatch.setattr(time, "clock_gettime", clocks.clock_gettime)
     endpoint = endpoints.Endpoint(
