--- a/rackpost/coordinator/api.py
+++ b/rackpost/coordinator/api.py
@@ -21,16 +21,16 @@
 
 _JSON = [(b"content-type", b"application/json")]
 # Clients time out after one second.
-_ANSWER_S = 0.9
+_ANSWER_TIMEOUT_S = 0.9
 # Clients wait longer for a large document.
-_LONG_BODY = 64 << 10
-_LONG_ANSWER_S = 3.0
+_LARGE_BODY_BYTES = 64 << 10
+_LARGE_BODY_TIMEOUT_S = 3.0
 # Limits how often refused heartbeats of one endpoint are logged.
-_REFUSAL_S = 10.0
+_REFUSAL_LOG_INTERVAL_S = 10.0
 # DELETE of this prefix + fingerprint releases a quarantined request.
-_HELD = b"/quarantine/"
+_QUARANTINE_PREFIX = b"/quarantine/"
 # Longest prefix of an unknown endpoint's id that is logged, in characters.
-_MAX_NAME = 64
+_MAX_LOGGED_ID_CHARS = 64
 
 
 class Api:
@@ -42,67 +42,69 @@
         node: node_mod.Node,
         directory: directory_mod.Directory,
         metrics: metrics_mod.Metrics,
-        spread: Callable[[endpoints.Endpoint], None],
-        reader: documents.IncrementalDecoder,
+        send_to_replicas: Callable[[endpoints.Endpoint], None],
+        decoder: documents.IncrementalDecoder,
         services: Callable[[], frozenset[types.ServiceName]],
         quarantine: quarantine_keeper.QuarantineKeeper,
     ) -> None:
         """Create the API.
 
         `services` returns the services of the routing document in force, an
-        empty set if there is none.  `spread` sends an endpoint's update to
+        empty set if there is none.  `send_to_replicas` sends an update to
         the other coordinators.
         """
         self._loop = asyncio.get_running_loop()
         self._services = services
         self._quarantine = quarantine
-        self._refusals = logs.Pauses(pause_s=_REFUSAL_S)
+        self._refusals = logs.Pauses(pause_s=_REFUSAL_LOG_INTERVAL_S)
         self._node = node
         self._directory = directory
         self._metrics = metrics
-        self._spread = spread
-        self._reader = reader
+        self._send_to_replicas = send_to_replicas
+        self._decoder = decoder
 
     async def handle(
         self, req: message.Request, responder: server.Responder
     ) -> None:
         """Answer one HTTP request."""
         if req.path == paths.DOCUMENT and req.method == b"PUT":
-            await self._put(req, responder)
+            await self._put_document(req, responder)
         elif req.path == paths.DOCUMENT and req.method == b"GET":
-            await self._get(responder)
-        elif req.path.startswith(_HELD) and req.method == b"DELETE":
-            self._release(req.path[len(_HELD) :], responder)
+            await self._get_document(responder)
+        elif (
+            req.path.startswith(_QUARANTINE_PREFIX) and req.method == b"DELETE"
+        ):
+            self._release(req.path[len(_QUARANTINE_PREFIX) :], responder)
         else:
-            self._endpoint(req, responder)
+            self._handle_endpoint(req, responder)
 
     def _release(self, name: bytes, responder: server.Responder) -> None:
         """Release a quarantined request."""
-        request = quarantine_keeper.of_hex(name.decode("latin-1"))
+        request = quarantine_keeper.parse_fingerprint(name.decode("latin-1"))
         if request is None or not self._quarantine.release(request):
-            _say(responder, 404, "not held back")
+            _respond(responder, 404, "not held back")
             return
         logs.say(
             logs.Part.COORDINATOR,
             "Request released.",
             fingerprint=request.hex(),
         )
-        _say(responder, 200)
+        _respond(responder, 200)
 
-    def _endpoint(
+    def _handle_endpoint(
         self, req: message.Request, responder: server.Responder
     ) -> None:
         name = paths.endpoint_id(req.path)
         if name is None:
-            _say(responder, 404, "no such path")
+            _respond(responder, 404, "no such path")
         elif req.method == b"PUT":
-            self._hear(name, heartbeats.decode, req, responder)
+            self._receive_update(name, heartbeats.decode, req, responder)
         elif req.method == b"DELETE":
-            self._hear(name, heartbeats.gone, req, responder)
+            self._receive_update(name, heartbeats.gone, req, responder)
         else:
-            _say(responder, 405, "PUT or DELETE only")
+            _respond(responder, 405, "PUT or DELETE only")
 
-    def _hear(
+    def _receive_update(
         self,
         name: str,
         decode: Callable[[str, bytes], endpoints.Endpoint],
@@ -114,11 +116,11 @@
             item = decode(name, req.body)
             self._check_service(item)
         except exceptions.CodecError as exc:
-            self._note_refused(name, str(exc))
-            _say(responder, 400, str(exc))
+            self._log_refused(name, str(exc))
+            _respond(responder, 400, str(exc))
             return
-        self._take(item)
-        _say(responder, 200)
+        self._apply_update(item)
+        _respond(responder, 200)
 
     def _check_service(self, item: endpoints.Endpoint) -> None:
         """Raise CodecError if the routing document lacks the service.
@@ -135,53 +137,53 @@
         if known is None or known.address != item.address:
             raise exceptions.CodecError("heartbeat: unknown service")
 
-    def _note_refused(self, name: str, why: str) -> None:
+    def _log_refused(self, name: str, why: str) -> None:
         """Log a refused heartbeat, at a limited rate per endpoint."""
         if self._refusals.is_due(name, self._loop.time()):
             logs.say(
                 logs.Part.COORDINATOR,
                 "Heartbeat refused.",
-                endpoint=name[:_MAX_NAME],
+                endpoint=name[:_MAX_LOGGED_ID_CHARS],
                 why=why,
             )
 
-    def _take(self, said: endpoints.Endpoint) -> None:
-        item = self._directory.with_incarnation(said)
+    def _apply_update(self, update: endpoints.Endpoint) -> None:
+        item = self._directory.with_incarnation(update)
         if self._directory.update(item):
-            self._spread(item)
+            self._send_to_replicas(item)
 
-    async def _put(
+    async def _put_document(
         self, req: message.Request, responder: server.Responder
     ) -> None:
         try:
-            doc = self._reader.decode(req.body)
+            doc = self._decoder.decode(req.body)
         except exceptions.RoutingError as exc:
-            self._tell(None, 400, str(exc))
-            _say(responder, 400, str(exc))
+            self._log_answer(None, 400, str(exc))
+            _respond(responder, 400, str(exc))
             return
-        if self._holds(doc):
-            self._tell(doc, 200, "held already")
-            _say(responder, 200)
+        if self._is_committed(doc):
+            self._log_answer(doc, 200, "held already")
+            _respond(responder, 200)
             return
         cmd = commands.SetRouting(version=doc.version, source=req.body)
-        patience = _ANSWER_S
-        if len(req.body) > _LONG_BODY:
-            patience = _LONG_ANSWER_S
+        timeout_s = _ANSWER_TIMEOUT_S
+        if len(req.body) > _LARGE_BODY_BYTES:
+            timeout_s = _LARGE_BODY_TIMEOUT_S
         result = None
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_s):
                 result = await self._node.commit(cmd)
         except TimeoutError:
             # The outcome is unknown; the client may send the document again.
             pass
         if result is None:
-            self._tell(doc, 503, "no quorum in time")
-            _say(responder, 503, "not confirmed by a quorum in time")
+            self._log_answer(doc, 503, "no quorum in time")
+            _respond(responder, 503, "not confirmed by a quorum in time")
             return
-        self._tell(doc, 200, "accepted")
-        _say(responder, 200)
+        self._log_answer(doc, 200, "accepted")
+        _respond(responder, 200)
 
-    def _holds(self, doc: model.Document) -> bool:
+    def _is_committed(self, doc: model.Document) -> bool:
         """Whether this version or a newer one is committed.
 
         Keeps documents that operators resend, perhaps to several
@@ -190,7 +192,9 @@
         routing = self._node.machine.routing
         return routing is not None and doc.version <= routing.version
 
-    def _tell(self, doc: model.Document | None, status: int, why: str) -> None:
+    def _log_answer(
+        self, doc: model.Document | None, status: int, why: str
+    ) -> None:
         logs.say(
             logs.Part.COORDINATOR,
             "Routing document answered.",
@@ -201,10 +205,10 @@
             term=self._node.term,
         )
 
-    async def _get(self, responder: server.Responder) -> None:
+    async def _get_document(self, responder: server.Responder) -> None:
         confirmed = False
         try:
-            async with asyncio.timeout(_ANSWER_S):
+            async with asyncio.timeout(_ANSWER_TIMEOUT_S):
                 confirmed = await self._node.confirm_read()
         except TimeoutError:
             # Answered as not confirmed below.
@@ -218,12 +222,12 @@
                 confirmed=confirmed,
                 version=routing.version if routing else 0,
             )
-            _say(responder, 503, "not confirmed by a quorum in time")
+            _respond(responder, 503, "not confirmed by a quorum in time")
             return
         responder.whole(200, _JSON, routing.source)
 
 
-def _say(responder: server.Responder, status: int, why: str = "") -> None:
+def _respond(responder: server.Responder, status: int, why: str = "") -> None:
     body = b"{}"
     if why:
         text = why.replace("\\", "/").replace('"', "'")
--- a/rackpost/coordinator/commit_marks.py
+++ b/rackpost/coordinator/commit_marks.py
@@ -14,7 +14,7 @@
 from rackpost import logs
 
 # How often a moved mark is written; bounds how stale it can be.
-_ROUND_S = 0.3
+_WRITE_INTERVAL_S = 0.3
 
 
 class CommitMarks:
@@ -23,14 +23,14 @@
     def __init__(self, *, node: node_mod.Node, disk: storage.FileDisk) -> None:
         self._node = node
         self._disk = disk
-        self._well = True
+        self._is_healthy = True
         # The last mark that this process has written.
         self.written: storage.CommitMark | None = None
 
     async def run(self) -> None:
         """Write the mark whenever it has moved, until cancelled."""
         while True:
-            await asyncio.sleep(_ROUND_S)
+            await asyncio.sleep(_WRITE_INTERVAL_S)
             mark = self._node.mark
             if mark is None or mark == self.written:
                 continue
@@ -41,14 +41,14 @@
         try:
             await self._disk.record_committed(mark)
         except exceptions.StorageError as exc:
-            if self._well:
+            if self._is_healthy:
                 logs.say(
                     logs.Part.COORDINATOR,
                     "Commit mark not written.",
                     index=mark.index,
                     why=str(exc),
                 )
-            self._well = False
+            self._is_healthy = False
             return False
-        self._well = True
+        self._is_healthy = True
         return True
--- a/rackpost/coordinator/directory.py
+++ b/rackpost/coordinator/directory.py
@@ -18,13 +18,13 @@
 from rackpost import types
 
 # Missed heartbeats after which a coordinator forgets an endpoint.
-_SILENT_BEATS = 12
+_FORGET_AFTER_HEARTBEATS = 12
 # Missed heartbeats after which gateways are queried about an endpoint.
-_ASK_BEATS = 3
+_QUERY_AFTER_HEARTBEATS = 3
 # Gateways queried in each round; bounds the traffic of large sites.
-_ASKED = 3
+_QUERIED_GATEWAYS = 3
 # Endpoints in one query.
-_MOST_ASKED_OF = 500
+_MAX_QUERIED_ENDPOINTS = 500
 
 
 class Directory:
@@ -33,10 +33,10 @@
     def __init__(self, *, heartbeat_s: float, rng: random.Random) -> None:
         self._loop = asyncio.get_running_loop()
         self._rng = rng
-        self._ask_s = heartbeat_s * _ASK_BEATS
-        self._silent_s = heartbeat_s * _SILENT_BEATS
+        self._query_after_s = heartbeat_s * _QUERY_AFTER_HEARTBEATS
+        self._forget_after_s = heartbeat_s * _FORGET_AFTER_HEARTBEATS
         self.table = endpoints.EndpointTable()
-        self._fresh: set[types.EndpointId] = set()
+        self._heartbeats: set[types.EndpointId] = set()
         self.gateways: dict[channel.Channel, messages.GatewayHello] = {}
         # Recent quota use of organisations, by gateway.
         self.quotas: dict[types.VmId, tuple[quota_use.QuotaUse, ...]] = {}
@@ -48,7 +48,7 @@
         heartbeat.
         """
         changed = self.table.update(item, self._loop.time())
-        self._fresh.add(item.id)
+        self._heartbeats.add(item.id)
         if changed:
             logs.say(
                 logs.Part.COORDINATOR,
@@ -61,32 +61,32 @@
                 sequence=item.sequence,
                 born=item.born,
             )
-            self.tell_gateways(update_for(item))
+            self.send_to_gateways(update_for(item))
         return changed
 
-    def tell_gateways(self, msg: msgspec.Struct) -> None:
+    def send_to_gateways(self, msg: msgspec.Struct) -> None:
         """Send a message to all linked gateways."""
         for conn in list(self.gateways):
             conn.send(msg)
 
-    def take_fresh(self) -> messages.HeartbeatNotice | None:
+    def take_heartbeats(self) -> messages.HeartbeatNotice | None:
         """Return and clear the heartbeats received since the last call.
 
         None if there were none.
         """
-        if not self._fresh:
+        if not self._heartbeats:
             return None
-        msg = messages.HeartbeatNotice(digests=digests.pack(self._fresh))
-        self._fresh.clear()
+        msg = messages.HeartbeatNotice(digests=digests.pack(self._heartbeats))
+        self._heartbeats.clear()
         return msg
 
     def query_silent(self) -> None:
         """Ask a few gateways about endpoints whose heartbeats are missing."""
-        before = self._loop.time() - self._ask_s
-        ids = self.table.silent(before)[:_MOST_ASKED_OF]
+        before = self._loop.time() - self._query_after_s
+        ids = self.table.silent(before)[:_MAX_QUERIED_ENDPOINTS]
         if not ids or not self.gateways:
             return
-        count = min(_ASKED, len(self.gateways))
+        count = min(_QUERIED_GATEWAYS, len(self.gateways))
         for conn in self._rng.sample(list(self.gateways), count):
             conn.send(messages.SilenceQuery(ids=tuple(ids)))
 
@@ -111,13 +111,13 @@
     def forget_silent(self) -> None:
         """Remove endpoints whose heartbeats have been missing for long."""
         for item in self.table.forget_silent(
-            self._loop.time() - self._silent_s
+            self._loop.time() - self._forget_after_s
         ):
             logs.say(
                 logs.Part.COORDINATOR,
                 "Endpoint is silent and forgotten.",
                 endpoint=item.id,
-                silent_s=self._silent_s,
+                silent_s=self._forget_after_s,
             )
 
 
@@ -135,11 +135,11 @@
 
     Returns the endpoints whose entries changed.
     """
-    told = list(msg.alive)
-    told += [
+    updates = list(msg.alive)
+    updates += [
         endpoints.Endpoint(
             id=life.id, born=life.born, state=endpoints.EndpointState.GONE
         )
         for life in msg.ended
     ]
-    return [item for item in told if table.update(item, now)]
+    return [item for item in updates if table.update(item, now)]
--- a/rackpost/coordinator/disk.py
+++ b/rackpost/coordinator/disk.py
@@ -15,9 +15,9 @@
 from rackpost import logs
 
 # Pause between attempts to write to a full or faulty disk.
-_AGAIN_S = 0.2
+_RETRY_PAUSE_S = 0.2
 # Random bytes in a new replica's id; make it unique.
-_NEW_ID_BYTES = 6
+_ID_RANDOM_BYTES = 6
 
 
 class RetryingDisk(storage.Disk):
@@ -29,11 +29,11 @@
 
     def __init__(self, *, disk: storage.FileDisk) -> None:
         self._disk = disk
-        self._well = True
+        self._is_healthy = True
 
     async def save(self, out: output.Output) -> None:
         """Make an output durable; retries until it is."""
-        await self._until_done(
+        await self._retry(
             lambda: self._disk.save(out), exceptions.StorageError
         )
 
@@ -44,13 +44,13 @@
         log: log_mod.Log,
     ) -> None:
         """Replace the log by a snapshot; retries until it is durable."""
-        await self._until_done(
+        await self._retry(
             lambda: self._disk.compact(snapshot, hard, log),
             exceptions.StorageError,
             OSError,
         )
 
-    async def _until_done(
+    async def _retry(
         self,
         write: Callable[[], Awaitable[None]],
         *faults: type[Exception],
@@ -60,21 +60,21 @@
             try:
                 await write()
             except faults as exc:
-                self._failed(exc)
-                await asyncio.sleep(_AGAIN_S)
+                self._record_failure(exc)
+                await asyncio.sleep(_RETRY_PAUSE_S)
             else:
-                self._recovered()
+                self._record_success()
                 return
 
-    def _failed(self, exc: Exception) -> None:
-        if self._well:
+    def _record_failure(self, exc: Exception) -> None:
+        if self._is_healthy:
             logs.say(logs.Part.COORDINATOR, "Disk fails.", why=str(exc))
-        self._well = False
+        self._is_healthy = False
 
-    def _recovered(self) -> None:
-        if not self._well:
+    def _record_success(self) -> None:
+        if not self._is_healthy:
             logs.say(logs.Part.COORDINATOR, "Disk is well again.")
-        self._well = True
+        self._is_healthy = True
 
 
 def open_disk(
@@ -87,7 +87,7 @@
     files are set aside and a new replica with a new id is created.
     """
     if not (folder / "identity").exists():
-        _make(folder, host=host, first_hosts=first_hosts)
+        _create(folder, host=host, first_hosts=first_hosts)
     disk = storage.FileDisk(folder=folder)
     try:
         return disk, disk.load()
@@ -99,12 +99,12 @@
         )
         disk.close()
     _set_aside(folder)
-    _make(folder, host=host, first_hosts=())
+    _create(folder, host=host, first_hosts=())
     disk = storage.FileDisk(folder=folder)
     return disk, disk.load()
 
 
-def _make(
+def _create(
     folder: pathlib.Path, *, host: str, first_hosts: tuple[str, ...]
 ) -> None:
     if host in first_hosts:
@@ -113,7 +113,7 @@
             consensus.ReplicaId(item) for item in sorted(first_hosts)
         )
     else:
-        replica = f"{host}#{secrets.token_hex(_NEW_ID_BYTES)}"
+        replica = f"{host}#{secrets.token_hex(_ID_RANDOM_BYTES)}"
         voters = ()
     _remove_leftovers(folder)
     storage.create(
--- a/rackpost/coordinator/links.py
+++ b/rackpost/coordinator/links.py
@@ -19,10 +19,10 @@
 TIMEOUTS = websocket.Patience(
     ping_s=0.7, ping_timeout_s=0.8, open_s=1.0, close_s=0.2
 )
-_REDIAL_S = 0.15
+_REDIAL_PAUSE_S = 0.15
 # Timeout of the first dial of a host; it doubles with each failure.  A short
-# one reaches soon a host that comes up just after the dial.
-_FIRST_OPEN_S = 0.2
+# timeout soon reaches a host that comes up just after the dial.
+_FIRST_DIAL_TIMEOUT_S = 0.2
 
 # Offsets from the first of the internal ports.
 LINKS_PORT = 0
@@ -35,7 +35,7 @@
     return address.rpartition(":")[0]
 
 
-Use = Callable[[str, websocket.WebSocketChannel], Awaitable[None]]
+LinkHandler = Callable[[str, websocket.WebSocketChannel], Awaitable[None]]
 
 
 class Dialler:
@@ -45,12 +45,12 @@
     """
 
     def __init__(
-        self, *, part: logs.Part, port: int, kinds: Any, on_link: Use
+        self, *, part: logs.Part, port: int, kinds: Any, on_link: LinkHandler
     ) -> None:
         self._part = part
         self._port = port
         self._kinds = kinds
-        self._use = on_link
+        self._on_link = on_link
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self.linked_hosts: set[str] = set()
 
@@ -58,12 +58,12 @@
         """Keep links to exactly these hosts."""
         wanted = set(hosts)
         for host in wanted - set(self._tasks):
-            self._tasks[host] = asyncio.create_task(self._keep(host))
+            self._tasks[host] = asyncio.create_task(self._keep_link(host))
         for host in set(self._tasks) - wanted:
             self._tasks.pop(host).cancel()
 
-    async def _keep(self, host: str) -> None:
-        open_s = _FIRST_OPEN_S
+    async def _keep_link(self, host: str) -> None:
+        open_s = _FIRST_DIAL_TIMEOUT_S
         while True:
             try:
                 async with websocket.connected(
@@ -72,24 +72,24 @@
                     kinds=self._kinds,
                     patience=msgspec.structs.replace(TIMEOUTS, open_s=open_s),
                 ) as conn:
-                    open_s = _FIRST_OPEN_S
-                    await self._while_up(host, conn)
+                    open_s = _FIRST_DIAL_TIMEOUT_S
+                    await self._run_link(host, conn)
             except exceptions.LinkError as exc:
-                if open_s == _FIRST_OPEN_S:
+                if open_s == _FIRST_DIAL_TIMEOUT_S:
                     # Logged once; redials continue until the host is up.
                     logs.say(
                         self._part, "Link not made.", peer=host, why=str(exc)
                     )
                 open_s = min(2.0 * open_s, TIMEOUTS.open_s)
-            await asyncio.sleep(_REDIAL_S)
+            await asyncio.sleep(_REDIAL_PAUSE_S)
 
-    async def _while_up(
+    async def _run_link(
         self, host: str, conn: websocket.WebSocketChannel
     ) -> None:
         logs.say(self._part, "Link is up.", peer=host)
         self.linked_hosts.add(host)
         try:
-            await self._use(host, conn)
+            await self._on_link(host, conn)
             await conn.ended()
         finally:
             self.linked_hosts.discard(host)
--- a/rackpost/coordinator/members.py
+++ b/rackpost/coordinator/members.py
@@ -18,21 +18,21 @@
 from rackpost import logs
 
 # How often membership and links are checked.
-_ROUND_S = 0.2
+_CHECK_INTERVAL_S = 0.2
 # Time without contact with a leader after which a replica asks to join.
-_LEADERLESS_S = 0.8
+_JOIN_AFTER_S = 0.8
 # How long a request to join remains valid.
-_JOINING_S = 2.0
+_JOIN_REQUEST_VALID_S = 2.0
 
 
-class _Belief(NamedTuple):
+class _Leadership(NamedTuple):
     """The leader and the configuration, as far as this replica knows."""
 
     leader: consensus.ReplicaId | None
     config: consensus.Config
 
 
-class MemberKeeper:
+class MembershipManager:
     """Keeps one replica a member, and the members complete if it leads."""
 
     def __init__(
@@ -43,11 +43,11 @@
         ip: str,
         seeds: Iterable[str],
         copies: int,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         """Create the manager of one replica.
 
-        `changed` is called when the leader or the configuration changes.
+        `on_change` is called when the leader or the configuration changes.
         `seeds` are `host:port` of some coordinators; `copies` is how many
         voters must have a record before it is committed.
         """
@@ -56,13 +56,13 @@
         self._dialler = dialler
         self._ip = ip
         self._copies = copies
-        self._changed = changed
+        self._on_change = on_change
         self._seeds: set[str] = set()
         self.set_seeds(seeds)
         self._joining: dict[consensus.ReplicaId, float] = {}
-        self._callers: set[str] = set()
-        self._led_at = self._loop.time()
-        self._belief: _Belief | None = None
+        self._dialling_hosts: set[str] = set()
+        self._leader_contact_at = self._loop.time()
+        self._leadership: _Leadership | None = None
 
     @property
     def hosts(self) -> set[str]:
@@ -71,17 +71,17 @@
             membership.host_of(peer) for peer in self._node.config.everyone
         }
         # Before it has joined, a replica knows only the seeds.
-        return known | self._seeds | self._callers
+        return known | self._seeds | self._dialling_hosts
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
         """Replace the seed coordinators, given as `host:port`."""
         self._seeds = {links.host_of(item) for item in seeds}
 
-    def note_caller(self, replica: consensus.ReplicaId) -> None:
+    def record_dialling_host(self, replica: consensus.ReplicaId) -> None:
         """Record the host of a replica that has dialled this one."""
-        self._callers.add(membership.host_of(replica))
+        self._dialling_hosts.add(membership.host_of(replica))
 
-    def take_join(self, msg: messages.Join) -> None:
+    def receive_join(self, msg: messages.Join) -> None:
         """Record a request to join, or forward it to the leader."""
         if self._node.is_leader:
             self._joining[msg.replica] = self._loop.time()
@@ -92,35 +92,35 @@
         """Maintain links and membership until cancelled."""
         while True:
             self._dialler.set_hosts(self.hosts - {self._ip})
-            self._note_belief()
+            self._update_leadership()
             if self._node.is_leader:
-                self._led_at = self._loop.time()
+                self._leader_contact_at = self._loop.time()
                 self._change_config()
             elif self._node.in_quorum_contact():
-                self._led_at = self._loop.time()
-            elif self._loop.time() - self._led_at > _LEADERLESS_S:
+                self._leader_contact_at = self._loop.time()
+            elif self._loop.time() - self._leader_contact_at > _JOIN_AFTER_S:
                 self._node.tell_all(messages.Join(replica=self._node.me))
-            await asyncio.sleep(_ROUND_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
 
-    def _note_belief(self) -> None:
+    def _update_leadership(self) -> None:
         config = self._node.config
-        belief = _Belief(leader=self._node.leader, config=config)
-        if belief == self._belief:
+        leadership = _Leadership(leader=self._node.leader, config=config)
+        if leadership == self._leadership:
             return
-        self._belief = belief
+        self._leadership = leadership
         logs.say(
             logs.Part.COORDINATOR,
             "Leader or replicas changed.",
-            leader=belief.leader or "none",
+            leader=leadership.leader or "none",
             term=self._node.term,
             voters=list(config.voters),
             learners=list(config.learners),
         )
         if config.voters:
-            self._callers &= {
+            self._dialling_hosts &= {
                 membership.host_of(peer) for peer in config.everyone
             }
-        self._changed()
+        self._on_change()
 
     def _change_config(self) -> None:
         self._forget_joining()
@@ -137,7 +137,7 @@
     def _forget_joining(self) -> None:
         now = self._loop.time()
         for peer, at in list(self._joining.items()):
-            if now - at > _JOINING_S:
+            if now - at > _JOIN_REQUEST_VALID_S:
                 del self._joining[peer]
 
     def _view(self) -> membership.ClusterView:
--- a/rackpost/coordinator/messages.py
+++ b/rackpost/coordinator/messages.py
@@ -85,7 +85,7 @@
 
 
 class SilenceQuery(_Message, frozen=True, tag="silent-endpoints"):
-    """Asks a gateway for heartbeats of endpoints that are silent here.
+    """Asks a gateway about endpoints that are silent at a coordinator.
 
     A gateway may be linked to coordinators that can't reach each other.
     """
--- a/rackpost/coordinator/overview.py
+++ b/rackpost/coordinator/overview.py
@@ -18,7 +18,7 @@
 from rackpost import types
 
 # Gateways listed for each organisation.
-_MOST_GATEWAYS = 3
+_MAX_GATEWAYS = 3
 
 
 class EndpointLine(msgspec.Struct, frozen=True, kw_only=True):
@@ -70,7 +70,7 @@
     gateways: tuple[tuple[types.VmId, int], ...]
 
 
-class HeldLine(msgspec.Struct, frozen=True, kw_only=True):
+class QuarantineLine(msgspec.Struct, frozen=True, kw_only=True):
     """A request that stays quarantined for another `left_s` seconds.
 
     `endpoints` are those that ended under it.
@@ -102,7 +102,7 @@
     routes: tuple[RouteLine, ...]
     endpoints: tuple[EndpointLine, ...]
     quotas: tuple[QuotaLine, ...] = ()
-    held: tuple[HeldLine, ...] = ()
+    held: tuple[QuarantineLine, ...] = ()
 
 
 def overview(
@@ -116,7 +116,7 @@
 ) -> Overview:
     """Return the overview at `now`, a time of the event loop's clock."""
     routing = node.machine.routing
-    doc = None if routing is None else _read(routing.source)
+    doc = None if routing is None else _decode(routing.source)
     return Overview(
         vm=vm,
         replica=node.me,
@@ -132,11 +132,13 @@
         routes=() if doc is None else _routes(doc),
         endpoints=_endpoints(directory.table, changing, now),
         quotas=() if doc is None else _quotas(doc, directory),
-        held=tuple(_held_line(item) for item in quarantine.quarantined(now)),
+        held=tuple(
+            _quarantine_line(item) for item in quarantine.quarantined(now)
+        ),
     )
 
 
-def _read(source: bytes) -> model.Document | None:
+def _decode(source: bytes) -> model.Document | None:
     try:
         return documents.decode(source)
     except exceptions.RoutingError as exc:
@@ -154,7 +156,7 @@
 ) -> tuple[QuotaLine, ...]:
     """Return the organisations that used quota, largest use first."""
     limits = {item.name: item.quota for item in doc.organisations}
-    uses = [item for told in directory.quotas.values() for item in told]
+    uses = [item for items in directory.quotas.values() for item in items]
     return tuple(
         _quota_line(use, limits.get(use.organisation), directory)
         for use in quota_use.largest(uses)
@@ -166,27 +168,29 @@
     limit: model.Quota | None,
     directory: directory_mod.Directory,
 ) -> QuotaLine:
-    at = [
+    by_gateway = [
         (vm, item.units)
-        for vm, told in directory.quotas.items()
-        for item in told
+        for vm, items in directory.quotas.items()
+        for item in items
         if item.organisation == use.organisation
     ]
-    at.sort(key=lambda pair: -pair[1])
+    by_gateway.sort(key=lambda pair: -pair[1])
     return QuotaLine(
         organisation=use.organisation,
         rate_per_s=0.0 if limit is None else limit.rate_per_s,
         burst=0.0 if limit is None else limit.burst,
         units=use.units,
         refused=use.refused,
-        gateways=tuple(at[:_MOST_GATEWAYS]),
+        gateways=tuple(by_gateway[:_MAX_GATEWAYS]),
     )
 
 
-def _held_line(item: quarantine_mod.QuarantinedRequest) -> HeldLine:
-    return HeldLine(
+def _quarantine_line(
+    item: quarantine_mod.QuarantinedRequest,
+) -> QuarantineLine:
+    return QuarantineLine(
         fingerprint=item.request.hex(),
-        endpoints=tuple(life.id for life in item.incarnations),
+        endpoints=tuple(incarnation.id for incarnation in item.incarnations),
         left_s=round(item.remaining_s),
     )
 
--- a/rackpost/coordinator/peers.py
+++ b/rackpost/coordinator/peers.py
@@ -9,10 +9,10 @@
 
 # Changes within this time share one message, so that many gateways that link
 # at once do not multiply the traffic.
-_GATHER_S = 0.1
+_BATCH_S = 0.1
 
 
-class PeerNews:
+class PeerPublisher:
     """Sends `Peers` messages to all linked gateways, in batches."""
 
     def __init__(
@@ -27,22 +27,22 @@
         self._coordinators = coordinators
         self._timer: asyncio.TimerHandle | None = None
 
-    def tell_soon(self) -> None:
+    def publish_soon(self) -> None:
         """Schedule a message to all gateways."""
         if self._timer is None:
-            self._timer = self._loop.call_later(_GATHER_S, self._tell_all)
+            self._timer = self._loop.call_later(_BATCH_S, self._publish)
 
-    def tell_newcomer(self, conn: channel.Channel) -> None:
+    def greet_gateway(self, conn: channel.Channel) -> None:
         """Send the lists to a newly linked gateway at once.
 
         The other gateways receive them with the next batch.
         """
         conn.send(self._message())
-        self.tell_soon()
+        self.publish_soon()
 
-    def _tell_all(self) -> None:
+    def _publish(self) -> None:
         self._timer = None
-        self._directory.tell_gateways(self._message())
+        self._directory.send_to_gateways(self._message())
 
     def _message(self) -> messages.Peers:
         by_vm = {item.vm: item for item in self._directory.gateways.values()}
--- a/rackpost/coordinator/process.py
+++ b/rackpost/coordinator/process.py
@@ -39,12 +39,12 @@
 from rackpost.state import machine
 
 # Time for a dialled coordinator to send its hello.
-_HELLO_S = 1.0
+_HELLO_TIMEOUT_S = 1.0
 # Missed heartbeats after which an endpoint counts in no pool.  Longer than
 # most restarts, shorter than a change of role.
-_SILENT_BEATS = 8.0
+_SILENT_HEARTBEATS = 8.0
 # How often received heartbeats are published.
-_HEARD_S = 0.5
+_HEARTBEAT_NOTICE_S = 0.5
 
 
 class Coordinator:
@@ -82,14 +82,14 @@
             file=quarantine_keeper.QuarantineFile(
                 folder=pathlib.Path(host.data_dir)
             ),
-            tell_gateways=self.directory.tell_gateways,
-            tell_replicas=self.node.tell_all,
+            send_to_gateways=self.directory.send_to_gateways,
+            send_to_replicas=self.node.tell_all,
         )
         self.feed = routing_feed.RoutingFeed()
-        self._reader = documents.IncrementalDecoder()
+        self._decoder = documents.IncrementalDecoder()
         # The document of a loaded snapshot is in force at once.
-        self._take_routing()
-        self._peers = peers.PeerNews(
+        self._publish_routing()
+        self._peers = peers.PeerPublisher(
             directory=self.directory,
             coordinators=lambda: self._members.hosts | {self._host.ip},
         )
@@ -98,28 +98,28 @@
             part=logs.Part.COORDINATOR,
             port=self._port + links.LINKS_PORT,
             kinds=messages.FromAny,
-            on_link=self._use_link,
+            on_link=self._on_link,
         )
-        self._roles = roles.RoleKeeper(
+        self._roles = roles.RoleBalancer(
             node=self.node,
             directory=self.directory,
             vm=host.vm,
             lease_s=host.bounds.lease_ms / 1000.0,
-            silent_s=_SILENT_BEATS * host.heartbeat_ms / 1000.0,
-            changing=self._tell_changing,
+            silent_s=_SILENT_HEARTBEATS * host.heartbeat_ms / 1000.0,
+            on_changing=self._publish_changing,
         )
-        self._members = members.MemberKeeper(
+        self._members = members.MembershipManager(
             node=self.node,
             dialler=self._dialler,
             ip=host.ip,
             seeds=host.seeds,
             copies=copies,
-            changed=self._peers.tell_soon,
+            on_change=self._peers.publish_soon,
         )
 
     # Links.
 
-    async def _use_link(
+    async def _on_link(
         self, host: str, conn: websocket.WebSocketChannel
     ) -> None:
         hello: asyncio.Future[msgspec.Struct] = self._loop.create_future()
@@ -131,7 +131,7 @@
         conn.attach(receive=first, closed=lambda: None)
         conn.send(control.ReplicaHello(replica=self.node.me))
         try:
-            async with asyncio.timeout(_HELLO_S):
+            async with asyncio.timeout(_HELLO_TIMEOUT_S):
                 msg = await hello
         except TimeoutError:
             conn.close()
@@ -150,7 +150,7 @@
     def _introduce(self, conn: channel.Channel, msg: msgspec.Struct) -> None:
         if isinstance(msg, control.ReplicaHello):
             conn.send(control.ReplicaHello(replica=self.node.me))
-            self._members.note_caller(msg.replica)
+            self._members.record_dialling_host(msg.replica)
             self.node.accept(msg.replica, conn)
         elif isinstance(msg, messages.GatewayHello):
             self._accept_gateway(conn, msg)
@@ -161,28 +161,28 @@
         self.directory.gateways[conn] = hello
         conn.attach(
             receive=lambda msg: self._on_gateway(conn, msg),
-            closed=lambda: self._gateway_left(conn),
+            closed=lambda: self._on_gateway_lost(conn),
         )
         logs.say(logs.Part.COORDINATOR, "Gateway linked.", peer=hello.vm)
-        held = self.quarantine.for_newcomer()
-        if held is not None:
+        evidence = self.quarantine.initial_evidence()
+        if evidence is not None:
             # Before the document, with which the gateway starts to serve.
-            conn.send(held)
+            conn.send(evidence)
         conn.send(messages.RoutingVersion(version=self.feed.version))
         conn.send(self.directory.full_update())
         conn.send(messages.ChangingEndpoints(ids=self._roles.changing))
-        self._peers.tell_newcomer(conn)
+        self._peers.greet_gateway(conn)
 
-    def _gateway_left(self, conn: channel.Channel) -> None:
+    def _on_gateway_lost(self, conn: channel.Channel) -> None:
         hello = self.directory.gateways.pop(conn, None)
         if hello is not None:
             self.directory.quotas.pop(hello.vm, None)
             logs.say(logs.Part.COORDINATOR, "Gateway lost.", peer=hello.vm)
-            self._peers.tell_soon()
+            self._peers.publish_soon()
 
     def _on_gateway(self, conn: channel.Channel, msg: msgspec.Struct) -> None:
         if isinstance(msg, messages.EndpointUpdate):
-            self._on_news(msg)
+            self._on_endpoint_update(msg)
         elif isinstance(msg, messages.Demands):
             hello = self.directory.gateways[conn]
             self._roles.record_demand(hello.vm, msg.items)
@@ -194,12 +194,12 @@
         elif isinstance(msg, messages.Suspicions):
             self.quarantine.receive(msg)
         elif isinstance(msg, messages.FetchRouting):
-            part = self.feed.chunk(msg)
-            if part is not None:
-                conn.send(part)
+            chunk = self.feed.chunk(msg)
+            if chunk is not None:
+                conn.send(chunk)
 
-    def _tell_changing(self) -> None:
-        self.directory.tell_gateways(
+    def _publish_changing(self) -> None:
+        self.directory.send_to_gateways(
             messages.ChangingEndpoints(ids=self._roles.changing)
         )
 
@@ -207,41 +207,41 @@
         self, peer: consensus.ReplicaId, msg: msgspec.Struct
     ) -> None:
         if isinstance(msg, messages.Join):
-            self._members.take_join(msg)
+            self._members.receive_join(msg)
         elif isinstance(msg, messages.HeartbeatNotice):
             self.directory.table.record_heartbeat_digests(
                 msg.digests, self._loop.time()
             )
         elif isinstance(msg, messages.EndpointUpdate):
-            self._on_news(msg)
+            self._on_endpoint_update(msg)
         elif isinstance(msg, messages.Suspicions):
             self.quarantine.receive(msg)
 
-    def _on_news(self, msg: messages.EndpointUpdate) -> None:
+    def _on_endpoint_update(self, msg: messages.EndpointUpdate) -> None:
         changed = directory_mod.apply_update(
             self.directory.table, msg, self._loop.time()
         )
         for item in changed:
-            self.directory.tell_gateways(directory_mod.update_for(item))
+            self.directory.send_to_gateways(directory_mod.update_for(item))
 
-    def _spread(self, item: endpoints.Endpoint) -> None:
+    def _send_to_replicas(self, item: endpoints.Endpoint) -> None:
         self.node.tell_all(directory_mod.update_for(item))
 
     # Routing.
 
     def _on_changes(self, changes: list[machine.Change] | None) -> None:
-        self._take_routing()
-        self.directory.tell_gateways(
+        self._publish_routing()
+        self.directory.send_to_gateways(
             messages.RoutingVersion(version=self.feed.version)
         )
 
-    def _take_routing(self) -> None:
+    def _publish_routing(self) -> None:
         """Publish the committed routing document if it is newer."""
         routing = self.node.machine.routing
         if routing is None or routing.version <= self.feed.version:
             return
         try:
-            self.feed.publish(self._reader.decode(routing.source))
+            self.feed.publish(self._decoder.decode(routing.source))
         except exceptions.RoutingError as exc:
             # Accepted by a newer release; gateways keep their version.
             logs.say(
@@ -279,30 +279,30 @@
             seeds=sorted({links.host_of(item) for item in host.seeds}),
         )
 
-    async def _forget(self) -> None:
+    async def _maintain_directory(self) -> None:
         while True:
-            await asyncio.sleep(_HEARD_S)
-            heard = self.directory.take_fresh()
-            if heard is not None:
-                self.directory.tell_gateways(heard)
-                self.node.tell_all(heard)
+            await asyncio.sleep(_HEARTBEAT_NOTICE_S)
+            notice = self.directory.take_heartbeats()
+            if notice is not None:
+                self.directory.send_to_gateways(notice)
+                self.node.tell_all(notice)
             self.directory.query_silent()
             self.directory.forget_silent()
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[None]:
         """Serve while the context is open."""
-        calls = api.Api(
+        http_api = api.Api(
             node=self.node,
             directory=self.directory,
             metrics=self.metrics,
-            spread=self._spread,
-            reader=self._reader,
+            send_to_replicas=self._send_to_replicas,
+            decoder=self._decoder,
             services=lambda: self.feed.services,
             quarantine=self.quarantine,
         )
         http = server.Server(
-            handler=calls.handle,
+            handler=http_api.handle,
             failed=_failed,
             limits=model.Limits(body_bytes=16 << 20, idle_s=30.0),
         )
@@ -339,7 +339,7 @@
             tasks.keep(self.commit_marks.run)
             tasks.keep(self.quarantine.run)
             tasks.keep(self._members.run)
-            tasks.keep(self._forget)
+            tasks.keep(self._maintain_directory)
             tasks.keep(self._roles.run)
             try:
                 yield
--- a/rackpost/coordinator/quarantine_keeper.py
+++ b/rackpost/coordinator/quarantine_keeper.py
@@ -21,11 +21,11 @@
 from rackpost import types
 
 # Pause before a failed write is retried.
-_AGAIN_S = 1.0
+_RETRY_PAUSE_S = 1.0
 # How often expired evidence is removed.
-_FORGET_S = 60.0
+_EXPIRY_INTERVAL_S = 60.0
 
-Tell = Callable[[messages.Suspicions], None]
+Send = Callable[[messages.Suspicions], None]
 
 
 class QuarantineFile:
@@ -61,7 +61,7 @@
 class QuarantineKeeper:
     """The quarantine state of one coordinator.
 
-    `tell_gateways` and `tell_replicas` send a message to all linked
+    `send_to_gateways` and `send_to_replicas` send a message to all linked
     gateways and coordinators.
     """
 
@@ -69,14 +69,14 @@
         self,
         *,
         file: QuarantineFile,
-        tell_gateways: Tell,
-        tell_replicas: Tell,
+        send_to_gateways: Send,
+        send_to_replicas: Send,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self.table = quarantine.Quarantine()
         self._file = file
-        self._tell_gateways = tell_gateways
-        self._tell_replicas = tell_replicas
+        self._send_to_gateways = send_to_gateways
+        self._send_to_replicas = send_to_replicas
         self._changed = asyncio.Event()
         loaded = self._file.load()
         self.table.add(loaded, self._loop.time())
@@ -97,12 +97,12 @@
             known = self.table.suspicions_of(request)
             if len(known) < quarantine.MIN_ENDED_TO_REPORT:
                 continue
-            self._log(request)
+            self._log_request(request)
             self._changed.set()
             # Gateways decide on the same evidence as coordinators.
-            self._tell_gateways(messages.Suspicions(items=known))
+            self._send_to_gateways(messages.Suspicions(items=known))
 
-    def _log(self, request: types.Fingerprint) -> None:
+    def _log_request(self, request: types.Fingerprint) -> None:
         now = self._loop.time()
         logs.say(
             logs.Part.COORDINATOR,
@@ -112,7 +112,7 @@
             held_s=round(self.table.remaining_s(request, now)),
         )
 
-    def for_newcomer(self) -> messages.Suspicions | None:
+    def initial_evidence(self) -> messages.Suspicions | None:
         """Return the evidence for a newly linked gateway; None if empty."""
         items = self.table.suspicions(quarantine.MIN_ENDED_TO_REPORT)
         return messages.Suspicions(items=items) if items else None
@@ -127,14 +127,14 @@
             return False
         msg = messages.Suspicions(items=self.table.clearances(request))
         self.receive(msg)
-        self._tell_replicas(msg)
+        self._send_to_replicas(msg)
         return True
 
     async def run(self) -> None:
         """Save changes and remove expired evidence until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(_FORGET_S):
+                async with asyncio.timeout(_EXPIRY_INTERVAL_S):
                     await self._changed.wait()
             except TimeoutError:
                 self.table.forget(self._loop.time())
@@ -155,10 +155,10 @@
                 why=str(exc),
             )
             self._changed.set()
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_PAUSE_S)
 
 
-def of_hex(text: str) -> types.Fingerprint | None:
+def parse_fingerprint(text: str) -> types.Fingerprint | None:
     """Return the fingerprint written in hexadecimal; None if malformed."""
     try:
         return types.Fingerprint(bytes.fromhex(text))
--- a/rackpost/coordinator/role_orders.py
+++ b/rackpost/coordinator/role_orders.py
@@ -16,21 +16,21 @@
 from rackpost import types
 
 # Timeout of a request for a report and of an order.
-_CALL_S = 1.5
+_REQUEST_TIMEOUT_S = 1.5
 # Limit of a report and of the answer to an order.
-_MAX_BODY = 64 << 10
+_MAX_BODY_BYTES = 64 << 10
 # Connections to one endpoint at a time.
-_CONNECTIONS = 2
+_MAX_CONNECTIONS = 2
 
 
 class OrderOutcome(enum.Enum):
     """Outcome of an order."""
 
     TAKEN = "taken"
-    HOLDS = "holds already"
+    ALREADY_SET = "holds already"
     REFUSED = "refused"
     FENCED = "fenced"
-    BARRED = "may get nothing now"
+    INELIGIBLE = "may get nothing now"
     UNKNOWN = "not answered"
 
 
@@ -72,9 +72,9 @@
         VM.
         """
         try:
-            report = await self._report(endpoint)
+            report = await self._fetch_report(endpoint)
         except exceptions.Barred:
-            return OrderOutcome.BARRED
+            return OrderOutcome.INELIGIBLE
         except (exceptions.ExchangeError, exceptions.CodecError) as exc:
             logs.say(
                 logs.Part.COORDINATOR,
@@ -84,7 +84,7 @@
             )
             return OrderOutcome.REFUSED
         if report is None or report.changing:
-            return self._refused(endpoint)
+            return self._refusal_outcome(endpoint)
         order = orders.change_role(
             role,
             holder=self._holder,
@@ -99,9 +99,9 @@
                 fence=fence,
             )
             return OrderOutcome.REFUSED
-        return await self._send(endpoint, order)
+        return await self._post_order(endpoint, order)
 
-    async def _report(
+    async def _fetch_report(
         self, endpoint: endpoints.Endpoint
     ) -> orders.Report | None:
         answer = await self._call(endpoint, b"GET", orders.REPORT_PATH, b"")
@@ -109,7 +109,7 @@
             return None
         return orders.decode_report(answer.body)
 
-    async def _send(
+    async def _post_order(
         self, endpoint: endpoints.Endpoint, order: bytes
     ) -> OrderOutcome:
         try:
@@ -118,26 +118,30 @@
             )
         except exceptions.ExchangeError as exc:
             return (
-                OrderOutcome.UNKNOWN if exc.sent else self._refused(endpoint)
+                OrderOutcome.UNKNOWN
+                if exc.sent
+                else self._refusal_outcome(endpoint)
             )
         if answer.status == 412:
             return OrderOutcome.FENCED
         if answer.status == 202:
             return OrderOutcome.TAKEN
         if answer.status == 200:
-            return OrderOutcome.HOLDS
-        return self._refused(endpoint)
+            return OrderOutcome.ALREADY_SET
+        return self._refusal_outcome(endpoint)
 
-    def _refused(self, endpoint: endpoints.Endpoint) -> OrderOutcome:
+    def _refusal_outcome(self, endpoint: endpoints.Endpoint) -> OrderOutcome:
         """Return the outcome of a refusal, which may request a back-off."""
         if (
             self._eligible.ineligible_reason(endpoint, self._loop.time())
             is not None
         ):
-            return OrderOutcome.BARRED
+            return OrderOutcome.INELIGIBLE
         return OrderOutcome.REFUSED
 
-    def _note(self, endpoint: endpoints.Endpoint, head: message.Head) -> None:
+    def _record_notices(
+        self, endpoint: endpoints.Endpoint, head: message.Head
+    ) -> None:
         endpoint_notices.record_answer(
             self._eligible,
             endpoint,
@@ -153,28 +157,28 @@
         path: bytes,
         body: bytes,
     ) -> Answer:
-        lines = [
+        fields = [
             (b"host", endpoint.address.encode()),
             (headers.ENDPOINT_ID, endpoint.id.encode()),
         ]
         if body:
-            lines.append((b"content-type", b"application/json"))
-            lines.append((b"content-length", b"%d" % len(body)))
+            fields.append((b"content-type", b"application/json"))
+            fields.append((b"content-length", b"%d" % len(body)))
         try:
-            async with asyncio.timeout(_CALL_S):
+            async with asyncio.timeout(_REQUEST_TIMEOUT_S):
                 async with self._pool.connection(
-                    endpoint.address, most=_CONNECTIONS, fresh=True
+                    endpoint.address, most=_MAX_CONNECTIONS, fresh=True
                 ) as conn:
                     endpoint_notices.check_eligible(
                         self._eligible, endpoint, self._loop.time()
                     )
                     head = await conn.request(
-                        head=message.request_head(method, path, lines),
+                        head=message.request_head(method, path, fields),
                         body=body,
                         request_id=None,
                     )
-                    self._note(endpoint, head)
-                    whole = await conn.read_whole(_MAX_BODY)
-                    return Answer(status=head.status, body=whole)
+                    self._record_notices(endpoint, head)
+                    content = await conn.read_whole(_MAX_BODY_BYTES)
+                    return Answer(status=head.status, body=content)
         except TimeoutError as exc:
             raise exceptions.ExchangeError("no answer in time") from exc
--- a/rackpost/coordinator/roles.py
+++ b/rackpost/coordinator/roles.py
@@ -21,23 +21,23 @@
 from rackpost import types
 
 # How often the pools are checked.
-_ROUND_S = 0.5
+_CHECK_INTERVAL_S = 0.5
 # How long an imbalance must last before an endpoint's role is changed.
-_LASTS_S = 1.0
+_MIN_IMBALANCE_S = 1.0
 # How long an unanswered order may still take effect (12 s and a margin); no
 # other order is given meanwhile.
-_UNANSWERED_S = 13.0
+_UNANSWERED_ORDER_S = 13.0
 # A change that no heartbeat has reported within this time has failed.
-_CHANGE_S = 20.0
+_CHANGE_TIMEOUT_S = 20.0
 # Pause after a change, until its effect on the demand is visible.
-_PAUSE_S = 6.0
+_PAUSE_AFTER_CHANGE_S = 6.0
 # How long a gateway's report of its demand is valid; one comes each second.
-_DEMAND_S = 3.0
+_DEMAND_VALID_S = 3.0
 # One in this many endpoints of a service may change its role at a time:
 # limits lost capacity, yet lets large pools follow a burst.
-_ONE_IN = 5
+_ENDPOINTS_PER_CHANGE = 5
 # Factor on the predecessor's lease, for clock drift.
-_LEASE_MARGIN = 1.2
+_LEASE_FACTOR = 1.2
 
 
 class _Change(NamedTuple):
@@ -49,14 +49,14 @@
     until: float
 
 
-class _Told(NamedTuple):
+class _DemandReport(NamedTuple):
     """The demand at one gateway, and when it was received."""
 
     at: float
     items: tuple[role_balance.Demand, ...]
 
 
-class RoleKeeper:
+class RoleBalancer:
     """Balances the prefill and decode pools of each model service."""
 
     def __init__(
@@ -67,11 +67,11 @@
         vm: types.VmId,
         lease_s: float,
         silent_s: float,
-        changing: Callable[[], None],
+        on_changing: Callable[[], None],
     ) -> None:
         """Create the manager of one coordinator.
 
-        `changing` is called when the set of changing endpoints changes.  An
+        `on_changing` is called when the set of changing endpoints changes.  An
         endpoint is left out after `silent_s` without a heartbeat.
         """
         self._loop = asyncio.get_running_loop()
@@ -86,12 +86,12 @@
         )
         self._lease_s = lease_s
         self._silent_s = silent_s
-        self._changing = changing
-        self._demands: dict[types.VmId, _Told] = {}
+        self._on_changing = on_changing
+        self._demands: dict[types.VmId, _DemandReport] = {}
         self._fence = types.Fence(0)
         self._fence_term = -1
         self._may_order_at = 0.0
-        self._since: dict[types.ServiceName, float] = {}
+        self._imbalance_since: dict[types.ServiceName, float] = {}
         self._changes: dict[types.EndpointId, _Change] = {}
         self._not_before: dict[types.ServiceName, float] = {}
 
@@ -104,25 +104,25 @@
         self, vm: types.VmId, items: tuple[role_balance.Demand, ...]
     ) -> None:
         """Record the demand that a gateway reports."""
-        self._demands[vm] = _Told(at=self._loop.time(), items=items)
+        self._demands[vm] = _DemandReport(at=self._loop.time(), items=items)
 
     async def run(self) -> None:
         """Balance the pools until cancelled."""
         while True:
-            await asyncio.sleep(_ROUND_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             self._orders.sweep()
             if not self._node.is_leader:
                 self._fence_term = -1
-                self._since.clear()
-                self._follow_changes()
+                self._imbalance_since.clear()
+                self._check_changes()
                 continue
             if self._fence_term != self._node.term:
                 await self._take_fence()
                 continue
             for service in self._services():
-                await self._look(service)
+                await self._balance(service)
 
-    def _follow_changes(self) -> None:
+    def _check_changes(self) -> None:
         """Track ordered changes to their end, also after leadership ends."""
         for change in list(self._changes.values()):
             self._end_change(change, self._loop.time())
@@ -134,7 +134,7 @@
             return
         self._fence = result.fence
         self._fence_term = term
-        wait_s = self._lease_s * _LEASE_MARGIN
+        wait_s = self._lease_s * _LEASE_FACTOR
         self._may_order_at = self._loop.time() + wait_s
         logs.say(
             logs.Part.COORDINATOR,
@@ -167,15 +167,15 @@
         now = self._loop.time()
         found = [
             item
-            for told in self._demands.values()
-            for item in told.items
-            if item.service == service and now - told.at < _DEMAND_S
+            for report in self._demands.values()
+            for item in report.items
+            if item.service == service and now - report.at < _DEMAND_VALID_S
         ]
         return role_balance.total(service, found)
 
-    async def _look(self, service: types.ServiceName) -> None:
+    async def _balance(self, service: types.ServiceName) -> None:
         now = self._loop.time()
-        self._follow_changes()
+        self._check_changes()
         members = self._members(service)
         if not self._may_change(service, members, now):
             return
@@ -183,15 +183,15 @@
         demand = self._demand(service)
         role = role_balance.role_to_add(pools, demand)
         if role is None:
-            self._since.pop(service, None)
+            self._imbalance_since.pop(service, None)
             return
-        since = self._since.setdefault(service, now)
-        if now - since < _LASTS_S:
+        since = self._imbalance_since.setdefault(service, now)
+        if now - since < _MIN_IMBALANCE_S:
             return
-        await self._change(service, role, members, pools, demand)
+        await self._order_change(service, role, members, pools, demand)
         if not self._may_change(service, members, self._loop.time()):
             # The next imbalance is timed from its own start.
-            self._since.pop(service, None)
+            self._imbalance_since.pop(service, None)
 
     def _may_change(
         self,
@@ -199,13 +199,13 @@
         members: list[endpoints.Endpoint],
         now: float,
     ) -> bool:
-        under_way = sum(
+        in_progress = sum(
             1 for item in self._changes.values() if item.service == service
         )
-        if under_way >= max(1, len(members) // _ONE_IN):
+        if in_progress >= max(1, len(members) // _ENDPOINTS_PER_CHANGE):
             return False
-        waits_until = self._not_before.get(service, 0.0)
-        return now >= self._may_order_at and now >= waits_until
+        not_before = self._not_before.get(service, 0.0)
+        return now >= self._may_order_at and now >= not_before
 
     def _pools(self, members: list[endpoints.Endpoint]) -> role_balance.Pools:
         """Return the pools as they will be after all ordered changes."""
@@ -239,8 +239,8 @@
         if not any(
             item.service == change.service for item in self._changes.values()
         ):
-            self._not_before[change.service] = now + _PAUSE_S
-        self._changing()
+            self._not_before[change.service] = now + _PAUSE_AFTER_CHANGE_S
+        self._on_changing()
         logs.say(
             logs.Part.COORDINATOR,
             "Change of role has ended.",
@@ -248,7 +248,7 @@
             outcome=done,
         )
 
-    async def _change(
+    async def _order_change(
         self,
         service: types.ServiceName,
         role: types.Role,
@@ -272,7 +272,7 @@
         if not others or not await self._is_still_holder():
             return
         endpoint = others[0]
-        given = await self._orders.send_order(
+        result = await self._orders.send_order(
             endpoint, role, self._fence, until=until
         )
         logs.say(
@@ -280,42 +280,42 @@
             "Ordered a change of role.",
             endpoint=endpoint.id,
             role=role.value,
-            outcome=given.value,
+            outcome=result.value,
             fence=self._fence,
             prefill_endpoints=pools.prefill,
             decode_endpoints=pools.decode,
             prefill_demand=round(demand.prefill, 2),
             decode_demand=round(demand.decode, 2),
         )
-        self._note(service, endpoint, role, given)
+        self._record_outcome(service, endpoint, role, result)
 
-    def _note(
+    def _record_outcome(
         self,
         service: types.ServiceName,
         endpoint: endpoints.Endpoint,
         role: types.Role,
-        given: role_orders.OrderOutcome,
+        result: role_orders.OrderOutcome,
     ) -> None:
         now = self._loop.time()
-        if given is role_orders.OrderOutcome.FENCED:
+        if result is role_orders.OrderOutcome.FENCED:
             # Another coordinator leads; this one will learn of it.
-            self._may_order_at = now + _UNANSWERED_S
-        elif given is role_orders.OrderOutcome.BARRED:
+            self._may_order_at = now + _UNANSWERED_ORDER_S
+        elif result is role_orders.OrderOutcome.INELIGIBLE:
             # The next round chooses another endpoint.
             return
-        elif given is role_orders.OrderOutcome.REFUSED:
-            self._not_before[service] = now + _PAUSE_S
+        elif result is role_orders.OrderOutcome.REFUSED:
+            self._not_before[service] = now + _PAUSE_AFTER_CHANGE_S
         else:
-            wait_s = _CHANGE_S
-            if given is role_orders.OrderOutcome.UNKNOWN:
-                wait_s = _UNANSWERED_S
+            wait_s = _CHANGE_TIMEOUT_S
+            if result is role_orders.OrderOutcome.UNKNOWN:
+                wait_s = _UNANSWERED_ORDER_S
             self._changes[endpoint.id] = _Change(
                 service=service,
                 endpoint=endpoint,
                 role=role,
                 until=now + wait_s,
             )
-            self._changing()
+            self._on_changing()
 
     async def _is_still_holder(self) -> bool:
         if not await self._node.confirm_read():
--- a/rackpost/coordinator/routing_feed.py
+++ b/rackpost/coordinator/routing_feed.py
@@ -18,11 +18,11 @@
 CHUNK_BYTES = 16 << 10
 # Bounds on the changes kept for gateways that are some versions behind: their
 # number, and their routes in all (some 700 bytes of memory each).
-_MAX_STEPS = 64
-_MAX_ROUTES = 8000
+_MAX_CHANGES = 64
+_MAX_CHANGE_ROUTES = 8000
 # Limit of the cache of encoded changes, which serves running transfers and
 # gateways that need the same change.
-_MAX_KEPT = 8 << 20
+_MAX_CACHE_BYTES = 8 << 20
 
 
 class _Encoded(NamedTuple):
@@ -41,10 +41,10 @@
         self._doc: model.Document | None = None
         self._steps: collections.deque[changes.Change] = collections.deque()
         self._routes = 0
-        self._kept: collections.OrderedDict[int, _Encoded] = (
+        self._cache: collections.OrderedDict[int, _Encoded] = (
             collections.OrderedDict()
         )
-        self._kept_bytes = 0
+        self._cache_bytes = 0
         # Digest of the change from each version to the newest one.
         self._digests: dict[int, int] = {}
 
@@ -68,24 +68,27 @@
             self._routes += step.size
         self._doc = doc
         self._digests.clear()
-        while self._routes > _MAX_ROUTES or len(self._steps) > _MAX_STEPS:
+        while (
+            self._routes > _MAX_CHANGE_ROUTES
+            or len(self._steps) > _MAX_CHANGES
+        ):
             self._routes -= self._steps.popleft().size
 
     def chunk(
-        self, asked: messages.FetchRouting
+        self, request: messages.FetchRouting
     ) -> messages.RoutingChunk | None:
         """Return the requested chunk; None if there is nothing newer.
 
         A transfer that another coordinator started is continued; one that is
         no longer cached is replaced by a new transfer from offset 0.
         """
-        encoded = self._kept.get(asked.digest)
+        encoded = self._cache.get(request.digest)
         if encoded is None:
-            if self._doc is None or asked.held_version >= self._doc.version:
+            if self._doc is None or request.held_version >= self._doc.version:
                 return None
-            encoded = self._encoded(asked.held_version, self._doc)
-        offset = asked.offset if asked.digest == encoded.digest else 0
-        self._kept.move_to_end(encoded.digest)
+            encoded = self._encoded(request.held_version, self._doc)
+        offset = request.offset if request.digest == encoded.digest else 0
+        self._cache.move_to_end(encoded.digest)
         return messages.RoutingChunk(
             base=encoded.base,
             version=encoded.version,
@@ -95,22 +98,26 @@
             data=encoded.data[offset : offset + CHUNK_BYTES],
         )
 
-    def _encoded(self, have: int, doc: model.Document) -> _Encoded:
+    def _encoded(self, held_version: int, doc: model.Document) -> _Encoded:
         """Return the encoded change from a version to the newest document."""
-        found = self._find(have)
+        found = self._cached(held_version)
         if found is None:
-            change = self._change(have, doc)
-            found = self._find(change.base) or self._encode(change)
-            self._digests[have] = self._digests[change.base] = found.digest
+            change = self._change_from(held_version, doc)
+            found = self._cached(change.base) or self._encode(change)
+            self._digests[held_version] = self._digests[change.base] = (
+                found.digest
+            )
         return found
 
-    def _find(self, base: int) -> _Encoded | None:
+    def _cached(self, base: int) -> _Encoded | None:
         digest = self._digests.get(base)
-        return None if digest is None else self._kept.get(digest)
+        return None if digest is None else self._cache.get(digest)
 
-    def _change(self, have: int, doc: model.Document) -> changes.Change:
+    def _change_from(
+        self, held_version: int, doc: model.Document
+    ) -> changes.Change:
         steps = list(self._steps)
-        while steps and steps[0].base != have:
+        while steps and steps[0].base != held_version:
             del steps[0]
         if not steps:
             return changes.from_empty(doc)
@@ -124,9 +131,9 @@
         # 0 means "no transfer" in requests.
         digest = zlib.crc32(data) or 1
         found = _Encoded(change.base, change.version, digest, data)
-        self._kept[digest] = found
-        self._kept_bytes += len(data)
-        while self._kept_bytes > _MAX_KEPT and len(self._kept) > 1:
-            _, oldest = self._kept.popitem(last=False)
-            self._kept_bytes -= len(oldest.data)
+        self._cache[digest] = found
+        self._cache_bytes += len(data)
+        while self._cache_bytes > _MAX_CACHE_BYTES and len(self._cache) > 1:
+            _, oldest = self._cache.popitem(last=False)
+            self._cache_bytes -= len(oldest.data)
         return found
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -21,8 +21,8 @@
 
 SERVICE = types.ServiceName("model")
 # Limit until an order is given.
-_MOST_S = 20
-Beat = Callable[[], Awaitable[None]]
+_ORDER_TIMEOUT_S = 20
+SendHeartbeats = Callable[[], Awaitable[None]]
 
 
 def role(
@@ -160,15 +160,15 @@
     assert third.fence > second.fence
 
 
-class Ordered(platform_site.Endpoint):
+class OrderedEndpoint(platform_site.Endpoint):
     """An endpoint that accepts and records orders."""
 
     def __init__(self, *, ident: str, stage: str) -> None:
         super().__init__(ident=ident, service="model", stage=stage)
         self.orders: list[dict] = []
-        self.answer = self.take
+        self.answer = self.handle_order
 
-    async def take(
+    async def handle_order(
         self, req: message.Request, responder: server.Responder
     ) -> None:
         if req.method == b"GET":
@@ -188,9 +188,9 @@
 
 
 @contextlib.asynccontextmanager
-async def ordering(
-    root: pathlib.Path, group: list[Ordered]
-) -> AsyncIterator[tuple[coordinator_process.Coordinator, Beat]]:
+async def leading_coordinator(
+    root: pathlib.Path, group: list[OrderedEndpoint]
+) -> AsyncIterator[tuple[coordinator_process.Coordinator, SendHeartbeats]]:
     """Run a coordinator that leads, and endpoints that it knows."""
     plan = platform_site.Plan(root=root)
     core = plan.host(11, kind="core", seeds=(11,), lost=0)
@@ -200,35 +200,35 @@
         operator = platform_site.Operator(plan=plan, http=http)
         running = await enter(platform_site.coordinator(core))
 
-        async def beat() -> None:
+        async def send_heartbeats() -> None:
             for one in group:
                 assert await operator.send_heartbeat(11, one) == 200
 
         for one in group:
             await enter(one.running())
-        await beat()
-        yield running, beat
+        await send_heartbeats()
+        yield running, send_heartbeats
 
 
-async def ask_until(
+async def report_demand_until(
     ordered: Callable[[], bool],
     running: coordinator_process.Coordinator,
-    beat: Beat,
+    send_heartbeats: SendHeartbeats,
 ) -> None:
     """Report demand for decode endpoints until an order was given."""
-    async with asyncio.timeout(_MOST_S):
+    async with asyncio.timeout(_ORDER_TIMEOUT_S):
         while not ordered():
             running._roles.record_demand(types.VmId("e"), (DEMAND,))
-            await beat()
+            await send_heartbeats()
             await asyncio.sleep(0.1)
 
 
-def two_that_prefill() -> list[Ordered]:
+def unbalanced_group() -> list[OrderedEndpoint]:
     """Return two prefill endpoints, one too many, and a decode endpoint."""
     return [
-        Ordered(ident="p0", stage="prefill"),
-        Ordered(ident="p1", stage="prefill"),
-        Ordered(ident="d0", stage="decode"),
+        OrderedEndpoint(ident="p0", stage="prefill"),
+        OrderedEndpoint(ident="p1", stage="prefill"),
+        OrderedEndpoint(ident="d0", stage="decode"),
     ]
 
 
@@ -236,29 +236,34 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
-        group = two_that_prefill()
-        async with ordering(tmp_path, group) as (running, beat):
-            await ask_until(
-                lambda: any(one.orders for one in group), running, beat
+        group = unbalanced_group()
+        async with leading_coordinator(tmp_path, group) as (
+            running,
+            send_heartbeats,
+        ):
+            await report_demand_until(
+                lambda: any(one.orders for one in group),
+                running,
+                send_heartbeats,
             )
-            given = [one for one in group if one.orders]
-            assert [one.stage for one in given] == ["prefill"]
-            assert running._roles.changing == (given[0].ident,)
+            ordered_endpoints = [one for one in group if one.orders]
+            assert [one.stage for one in ordered_endpoints] == ["prefill"]
+            assert running._roles.changing == (ordered_endpoints[0].ident,)
             # The next imbalance is timed from its own start.
-            assert SERVICE not in running._roles._since
+            assert SERVICE not in running._roles._imbalance_since
             # Idle connections of past orders must be closed.
             pool = running._roles._orders._pool
             await platform_site.until(lambda: not pool._idle)
-            order = given[0].orders[0]
+            order = ordered_endpoints[0].orders[0]
             assert order["stage"] == "decode"
             assert order["fence"] == 1
             assert order["expectedRevision"] == 0
             assert order["holder"] == "core-11"
-            seen = given[0].requests[-1]
+            seen = ordered_endpoints[0].requests[-1]
             expected = message.find(seen.headers, b"x-expect-instance")
-            assert expected == given[0].ident.encode()
-            given[0].stage = "decode"
-            await beat()
+            assert expected == ordered_endpoints[0].ident.encode()
+            ordered_endpoints[0].stage = "decode"
+            await send_heartbeats()
             await platform_site.until(lambda: not running._roles.changing)
             assert sum(len(one.orders) for one in group) == 1
 
@@ -268,7 +273,9 @@
 def test_many_gateways_know_their_demand_though_one_has_just_begun() -> None:
     """Among 68 gateways some have always just received a first request."""
 
-    def told(asked: float, *, is_known: bool = True) -> role_balance.Demand:
+    def demand_of(
+        asked: float, *, is_known: bool = True
+    ) -> role_balance.Demand:
         work = asked if is_known else 0.0
         return role_balance.Demand(
             service=SERVICE,
@@ -278,17 +285,17 @@
             requests_per_s=asked,
         )
 
-    most = [told(0.2)] * 66 + [told(0.2, is_known=False)] * 2
+    most = [demand_of(0.2)] * 66 + [demand_of(0.2, is_known=False)] * 2
     found = role_balance.total(SERVICE, most)
     assert found.is_known
     assert abs(found.prefill - 0.1 * 0.2 * 68) < 1e-9
     assert abs(found.decode - 0.4 * 0.2 * 68) < 1e-9
     # No demand at all; then demand mostly at gateways that just started.
-    assert role_balance.total(SERVICE, [told(0.0)] * 3).is_known
-    few = [told(0.2)] * 20 + [told(0.2, is_known=False)] * 48
+    assert role_balance.total(SERVICE, [demand_of(0.0)] * 3).is_known
+    few = [demand_of(0.2)] * 20 + [demand_of(0.2, is_known=False)] * 48
     assert not role_balance.total(SERVICE, few).is_known
     assert not role_balance.total(
-        SERVICE, [told(0.0), told(0.2, is_known=False)]
+        SERVICE, [demand_of(0.0), demand_of(0.2, is_known=False)]
     ).is_known
 
 
@@ -316,10 +323,15 @@
     """Guards against repeated requests that also block other endpoints."""
 
     async def main() -> None:
-        group = two_that_prefill()
+        group = unbalanced_group()
         group[0].answer = test_backoff.asks
-        async with ordering(tmp_path, group) as (running, beat):
-            await ask_until(lambda: bool(group[1].orders), running, beat)
+        async with leading_coordinator(tmp_path, group) as (
+            running,
+            send_heartbeats,
+        ):
+            await report_demand_until(
+                lambda: bool(group[1].orders), running, send_heartbeats
+            )
             assert len(group[0].requests) == 1
             assert not group[0].orders
 
