--- a/rackpost/routing/changes.py
+++ b/rackpost/routing/changes.py
@@ -17,9 +17,9 @@
 from rackpost import types
 
 # The fastest level of zlib.
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 # Limit of a decompressed change, for hundreds of thousands of routes.
-_MAX_UNPACKED = 64 << 20
+_MAX_DECOMPRESSED_BYTES = 64 << 20
 
 _Key = TypeVar("_Key", bound=Hashable)
 _Item = TypeVar("_Item")
@@ -82,13 +82,13 @@
 def diff(old: model.Document, new: model.Document) -> Change:
     """Return the change from one document to another."""
     # Documents decoded one after the other share their equal routes.
-    kept = {id(route) for route in old.routes}
-    kept.intersection_update(id(route) for route in new.routes)
-    before = _by_key(r for r in old.routes if id(r) not in kept)
-    after = _by_key(r for r in new.routes if id(r) not in kept)
+    shared = {id(route) for route in old.routes}
+    shared.intersection_update(id(route) for route in new.routes)
+    before = _by_key(r for r in old.routes if id(r) not in shared)
+    after = _by_key(r for r in new.routes if id(r) not in shared)
     put = tuple(r for key, r in after.items() if before.get(key) != r)
-    had = _by_name(old.organisations)
-    has = _by_name(new.organisations)
+    old_organisations = _by_name(old.organisations)
+    new_organisations = _by_name(new.organisations)
     return Change(
         base=old.version,
         version=new.version,
@@ -99,10 +99,14 @@
         routes=len(new.routes),
         keys_required=new.keys_required,
         put_organisations=tuple(
-            item for name, item in has.items() if had.get(name) != item
+            item
+            for name, item in new_organisations.items()
+            if old_organisations.get(name) != item
         ),
-        removed_organisations=tuple(sorted(set(had).difference(has))),
-        organisations=len(has),
+        removed_organisations=tuple(
+            sorted(set(old_organisations).difference(new_organisations))
+        ),
+        organisations=len(new_organisations),
     )
 
 
@@ -113,8 +117,8 @@
     put_organisations: dict[types.OrganisationName, model.Organisation] = {}
     removed_organisations: set[types.OrganisationName] = set()
     for step in steps:
-        _join(put, removed, _by_key(step.put), step.removed)
-        _join(
+        _merge_step(put, removed, _by_key(step.put), step.removed)
+        _merge_step(
             put_organisations,
             removed_organisations,
             _by_name(step.put_organisations),
@@ -136,7 +140,7 @@
     )
 
 
-def _join(
+def _merge_step(
     put: dict[_Key, _Item],
     removed: set[_Key],
     step_put: dict[_Key, _Item],
@@ -159,15 +163,15 @@
     MessagePack in place of the links' CBOR: msgspec decodes it straight into
     structs, which shortens the pause of a gateway's event loop.
     """
-    return zlib.compress(msgspec.msgpack.encode(change), _LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(change), _COMPRESSION_LEVEL)
 
 
 def decode(data: bytes) -> Change:
     """Decode a change; raises RoutingError if `data` is malformed."""
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        raw = unpacker.decompress(data, _MAX_UNPACKED)
-        if not unpacker.eof:
+        raw = decompressor.decompress(data, _MAX_DECOMPRESSED_BYTES)
+        if not decompressor.eof:
             raise exceptions.RoutingError("change is truncated or too large")
         return _DECODER.decode(raw)
     except (zlib.error, msgspec.MsgspecError) as exc:
--- a/rackpost/routing/endpoints.py
+++ b/rackpost/routing/endpoints.py
@@ -14,7 +14,7 @@
 
 # Bound on remembered incarnations, which keep a late heartbeat from bringing
 # an ended endpoint back.
-_MAX_ENDED = 4096
+_MAX_REMEMBERED = 4096
 
 
 class EndpointState(enum.Enum):
@@ -25,7 +25,7 @@
     GONE = "gone"
 
 
-_ORDER = {
+_STATE_ORDER = {
     EndpointState.READY: 0,
     EndpointState.DRAINING: 1,
     EndpointState.GONE: 2,
@@ -93,7 +93,7 @@
         if self._has_ended(new):
             return False
         if new.state is EndpointState.GONE:
-            return self._end(new)
+            return self._record_end(new)
         if self._leaving.get(new.id) == new.born:
             new = msgspec.structs.replace(new, state=EndpointState.DRAINING)
         old = self.alive.get(new.id)
@@ -123,7 +123,7 @@
             return False
         self._leaving.pop(endpoint.id, None)
         self._leaving[endpoint.id] = endpoint.born
-        while len(self._leaving) > _MAX_ENDED:
+        while len(self._leaving) > _MAX_REMEMBERED:
             del self._leaving[next(iter(self._leaving))]
         known = self.alive.get(endpoint.id)
         if known is None:
@@ -148,11 +148,11 @@
     def _remove(self, key: types.EndpointId) -> Endpoint | None:
         """Remove an endpoint; return its last state if it was known."""
         self.last_heartbeat_at.pop(key, None)
-        short = digests.digest(key)
-        alike = self._by_digest.get(short, set())
-        alike.discard(key)
-        if not alike:
-            self._by_digest.pop(short, None)
+        id_digest = digests.digest(key)
+        same_digest = self._by_digest.get(id_digest, set())
+        same_digest.discard(key)
+        if not same_digest:
+            self._by_digest.pop(id_digest, None)
         return self.alive.pop(key, None)
 
     def _drop_others_at(self, new: Endpoint) -> None:
@@ -190,7 +190,7 @@
         if old is None:
             return False
         self._dropped[key] = old
-        while len(self._dropped) > _MAX_ENDED:
+        while len(self._dropped) > _MAX_REMEMBERED:
             del self._dropped[next(iter(self._dropped))]
         return True
 
@@ -203,9 +203,9 @@
                 self.last_heartbeat_at[key] = now
 
     def record_heartbeat_digests(self, data: bytes, now: float) -> None:
-        """As `record_heartbeats`, of endpoints told by their digests."""
-        for short in digests.unpack(data):
-            self.record_heartbeats(self._by_digest.get(short, ()), now)
+        """Record heartbeats of endpoints given by packed digests."""
+        for id_digest in digests.unpack(data):
+            self.record_heartbeats(self._by_digest.get(id_digest, ()), now)
 
     def with_heartbeat_since(
         self, since: float
@@ -240,7 +240,7 @@
         """Return the ended incarnations that are still remembered."""
         return [Incarnation(key, born) for key, born in self._ended.items()]
 
-    def _end(self, gone: Endpoint) -> bool:
+    def _record_end(self, gone: Endpoint) -> bool:
         """End an incarnation; return whether that changed anything."""
         old = self.alive.get(gone.id)
         if old is not None and _is_later(gone.born, old.born):
@@ -251,7 +251,7 @@
         self._remove(gone.id)
         self._dropped.pop(gone.id, None)
         self._ended[gone.id] = born
-        while len(self._ended) > _MAX_ENDED:
+        while len(self._ended) > _MAX_REMEMBERED:
             del self._ended[next(iter(self._ended))]
         return True
 
@@ -267,14 +267,14 @@
         return True
     if _is_later(new.born, old.born) or new.sequence <= old.sequence:
         return False
-    return _ORDER[new.state] >= _ORDER[old.state]
+    return _STATE_ORDER[new.state] >= _STATE_ORDER[old.state]
 
 
 def _differs(old: Endpoint, new: Endpoint) -> bool:
-    return _facts(old) != _facts(new)
+    return _visible_state(old) != _visible_state(new)
 
 
-def _facts(item: Endpoint) -> tuple[object, ...]:
+def _visible_state(item: Endpoint) -> tuple[object, ...]:
     return (
         item.born,
         item.state,
--- a/rackpost/routing/match.py
+++ b/rackpost/routing/match.py
@@ -83,12 +83,12 @@
                 f"a change of version {change.base} does not fit "
                 f"{self.version}"
             )
-        callers = self.organisations.with_change(change)
+        changed_organisations = self.organisations.with_change(change)
         if change.base == 0:
             self._replace(change)
         else:
-            self._alter(change)
-        self.organisations = callers
+            self._update(change)
+        self.organisations = changed_organisations
         self.services = {item.name: item for item in change.services}
         self.limits = change.limits
         self.version = change.version
@@ -100,17 +100,17 @@
         _check_count(change, sum(len(routes) for routes in by_host.values()))
         self._by_host = by_host
 
-    def _alter(self, change: changes.Change) -> None:
+    def _update(self, change: changes.Change) -> None:
         # `removed` may name routes added and removed again since `base`.
-        gone = sum(self._holds(key) for key in change.removed)
-        new = sum(not self._holds(route.key) for route in change.put)
+        gone = sum(self._has_route(key) for key in change.removed)
+        new = sum(not self._has_route(route.key) for route in change.put)
         _check_count(change, self.count - gone + new)
         for key in change.removed:
             self._by_host[key.host].remove(key.prefix)
         for route in change.put:
             self._by_host[route.host.lower()].put(route)
 
-    def _holds(self, key: model.RouteKey) -> bool:
+    def _has_route(self, key: model.RouteKey) -> bool:
         return key.prefix in self._by_host[key.host]
 
     def find(self, host: str, path: str) -> model.Route | None:
