--- a/rackpost/platform/documents.py
+++ b/rackpost/platform/documents.py
@@ -102,17 +102,18 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[bytes, model.Route] = {}
-        self._organisations: dict[bytes, model.Organisation] = {}
+        self._known_routes: dict[bytes, model.Route] = {}
+        self._known_organisations: dict[bytes, model.Organisation] = {}
 
     def decode(self, text: bytes) -> model.Document:
         """Decode and validate a document; raises RoutingError."""
         try:
             wire = _DECODER.decode(text)
             routes = [self._decode_route(bytes(raw)) for raw in wire.routes]
-            callers = wire.organisations or []
+            raw_organisations = wire.organisations or []
             organisations = [
-                self._decode_organisation(bytes(raw)) for raw in callers
+                self._decode_organisation(bytes(raw))
+                for raw in raw_organisations
             ]
         except (msgspec.DecodeError, msgspec.ValidationError) as exc:
             raise exceptions.RoutingError(f"bad document: {exc}") from exc
@@ -130,18 +131,20 @@
             organisations=tuple(organisations),
         )
         check.check(doc)
-        self._known = dict(zip(map(bytes, wire.routes), routes))
-        self._organisations = dict(zip(map(bytes, callers), organisations))
+        self._known_routes = dict(zip(map(bytes, wire.routes), routes))
+        self._known_organisations = dict(
+            zip(map(bytes, raw_organisations), organisations)
+        )
         return doc
 
     def _decode_route(self, raw: bytes) -> model.Route:
-        known = self._known.get(raw)
+        known = self._known_routes.get(raw)
         if known is not None:
             return known
         return _route(_ROUTE_DECODER.decode(raw))
 
     def _decode_organisation(self, raw: bytes) -> model.Organisation:
-        known = self._organisations.get(raw)
+        known = self._known_organisations.get(raw)
         if known is not None:
             return known
         return _organisation(_ORGANISATION_DECODER.decode(raw))
@@ -190,8 +193,8 @@
         )
     if wire.service is None:
         raise exceptions.RoutingError(f"route {wire.name} names no service")
-    only = model.Target(service=types.ServiceName(wire.service), weight=1)
-    return (only,)
+    target = model.Target(service=types.ServiceName(wire.service), weight=1)
+    return (target,)
 
 
 def _service(wire: _Service) -> model.Service:
--- a/rackpost/platform/headers.py
+++ b/rackpost/platform/headers.py
@@ -85,10 +85,12 @@
         return None
     parts = usage.split(b",")
     prompt = whole(parts[0]) or 0
-    most = (whole(parts[1]) or 0) if len(parts) > 1 else 0
-    guess = whole(message.find(headers, _LENGTH_GUESS))
+    max_output = (whole(parts[1]) or 0) if len(parts) > 1 else 0
+    expected_output = whole(message.find(headers, _LENGTH_GUESS))
     return RequestSizes(
-        prompt=prompt, max_output=most, expected_output=guess or most
+        prompt=prompt,
+        max_output=max_output,
+        expected_output=expected_output or max_output,
     )
 
 
@@ -117,11 +119,11 @@
 
 def named_rate(head: message.Head) -> endpoint_rates.AnswerRate:
     """Return the rate of requests that an endpoint names in an answer."""
-    told = [value for name, value in head.headers if name == _RATE]
-    if not told:
+    values = [value for name, value in head.headers if name == _RATE]
+    if not values:
         return endpoint_rates.AnswerRate()
-    number = told[0].strip()
-    if len(told) > 1 or not _DECIMAL.fullmatch(number):
+    number = values[0].strip()
+    if len(values) > 1 or not _DECIMAL.fullmatch(number):
         return endpoint_rates.AnswerRate(unreadable=True)
     return endpoint_rates.AnswerRate(per_s=float(number))
 
@@ -140,10 +142,10 @@
 
     None unless the request has exactly one key.
     """
-    shown = [value for name, value in headers if name == _KEY]
-    if len(shown) != 1:
+    values = [value for name, value in headers if name == _KEY]
+    if len(values) != 1:
         return None
-    scheme, _, key = shown[0].strip().partition(b" ")
+    scheme, _, key = values[0].strip().partition(b" ")
     if scheme.lower() != _KEY_SCHEME:
         return None
     return keys.digest(key.strip()) or None
--- a/rackpost/platform/heartbeats.py
+++ b/rackpost/platform/heartbeats.py
@@ -51,7 +51,7 @@
         wire = _DECODER.decode(text)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
         raise exceptions.CodecError(f"heartbeat: {exc}") from exc
-    why = _why_unusable(wire)
+    why = _invalid_reason(wire)
     if why:
         raise exceptions.CodecError(f"heartbeat: {why}")
     return endpoints.Endpoint(
@@ -68,7 +68,7 @@
     )
 
 
-def _why_unusable(wire: _Heartbeat) -> str:
+def _invalid_reason(wire: _Heartbeat) -> str:
     """Return why a decoded heartbeat is invalid; "" if it is valid."""
     if wire.state not in _STATES:
         return "unknown state"
--- a/rackpost/site_overview.py
+++ b/rackpost/site_overview.py
@@ -23,7 +23,7 @@
     wanted = [item for item in addresses.split(",") if item]
     if not wanted:
         raise exceptions.ConfigError("--coordinators names no address")
-    last = ""
+    last_error = ""
     for address in wanted:
         base = address if "//" in address else f"http://{address}"
         try:
@@ -32,10 +32,10 @@
             ) as resp:
                 return msgspec.json.decode(resp.read(), type=overview.Overview)
         except (OSError, ValueError) as exc:
-            last = f"{base}: {exc}"
+            last_error = f"{base}: {exc}"
         except msgspec.DecodeError as exc:
-            last = f"{base}: not a coordinator's page: {exc}"
-    raise exceptions.ControlError(last)
+            last_error = f"{base}: not a coordinator's page: {exc}"
+    raise exceptions.ControlError(last_error)
 
 
 def to_json(found: overview.Overview) -> str:
@@ -45,10 +45,10 @@
 
 def status(found: overview.Overview) -> str:
     """Return a summary: leader, members, document version and counts."""
-    heard = "hears a quorum" if found.hears_quorum else "HEARS NO QUORUM"
+    quorum = "hears a quorum" if found.hears_quorum else "HEARS NO QUORUM"
     return "\n".join(
         (
-            f"as {found.vm} ({found.replica}) knows it; it {heard}",
+            f"as {found.vm} ({found.replica}) knows it; it {quorum}",
             f"leader     {found.leader or 'none'}, term {found.term}",
             f"voters     {', '.join(found.voters) or 'none'}",
             f"learners   {', '.join(found.learners) or 'none'}",
