--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -32,11 +32,11 @@
 _FIRST_BASE = 10_000
 _LAST_BASE = 30_000
 _PORTS = 13
-_NUMBERS = (11, 12, 13, 14, 15, 16, 31)
+_HOST_NUMBERS = (11, 12, 13, 14, 15, 16, 31)
 
 
 def _is_free(base: int) -> bool:
-    for number in _NUMBERS:
+    for number in _HOST_NUMBERS:
         for port in range(base, base + _PORTS):
             for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
                 with socket.socket(socket.AF_INET, kind) as sock:
--- a/tests/slow_link.py
+++ b/tests/slow_link.py
@@ -27,7 +27,7 @@
 # One-way delay; the direction towards coordinators is never saturated.
 _DELAY_S = 0.001
 # Time until a lost connection is up again.
-_AGAIN_S = 0.2
+_RELINK_S = 0.2
 
 
 class _End(channel.Channel):
@@ -112,9 +112,9 @@
 
     def start(self, coordinators: list[process.Coordinator]) -> None:
         """Link the gateway to these coordinators, and keep it linked."""
-        self._tasks.append(self._loop.create_task(self._move()))
+        self._tasks.append(self._loop.create_task(self._send_packets()))
         for one in coordinators:
-            self._tasks.append(self._loop.create_task(self._keep(one)))
+            self._tasks.append(self._loop.create_task(self._keep_linked(one)))
 
     async def stop(self) -> None:
         for task in self._tasks:
@@ -135,38 +135,38 @@
                 conn.silent = True
                 conn.queue.clear()
 
-    async def _keep(self, one: process.Coordinator) -> None:
+    async def _keep_linked(self, one: process.Coordinator) -> None:
         while True:
             conn = _Connection(loop=self._loop)
             self._conns[one] = conn
             await one._accept(conn.far)
             await self.links._use(f"peer-{id(one)}", conn.near)
-            await self._while_answered(conn)
+            await self._ping_until_timeout(conn)
             self.lost += 1
             conn.close()
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RELINK_S)
 
-    async def _while_answered(self, conn: _Connection) -> None:
+    async def _ping_until_timeout(self, conn: _Connection) -> None:
         """Ping as links do; return when a ping is not answered in time."""
-        patience = links.TIMEOUTS
+        timeouts = links.TIMEOUTS
         while True:
-            await asyncio.sleep(patience.ping_s)
+            await asyncio.sleep(timeouts.ping_s)
             conn.ping(self._loop.time())
             before = conn.answered
-            await asyncio.sleep(patience.ping_timeout_s)
+            await asyncio.sleep(timeouts.ping_timeout_s)
             if conn.answered == before:
                 return
 
-    async def _move(self) -> None:
+    async def _send_packets(self) -> None:
         """Send packets of all connections in turn at the link's rate."""
         while True:
             busy = [conn for conn in self._conns.values() if conn.queue]
             if not busy:
                 await asyncio.sleep(_DELAY_S)
             for conn in busy:
-                await self._packet(conn)
+                await self._send_packet(conn)
 
-    async def _packet(self, conn: _Connection) -> None:
+    async def _send_packet(self, conn: _Connection) -> None:
         if not conn.queue:
             return
         item = conn.queue[0]
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -14,7 +14,7 @@
 CORE = (11, 12, 13, 14, 15)
 
 
-class Group:
+class Cluster:
     """Coordinators that can be stopped, wiped and started one by one."""
 
     def __init__(self, *, operator: platform_site.Operator) -> None:
@@ -72,12 +72,12 @@
 
 
 @contextlib.asynccontextmanager
-async def group(root: pathlib.Path) -> AsyncIterator[Group]:
+async def cluster(root: pathlib.Path) -> AsyncIterator[Cluster]:
     """Run all coordinators of a site, each of them a voter."""
     plan = platform_site.Plan(root=root)
     async with aiohttp.ClientSession() as http:
         operator = platform_site.Operator(plan=plan, http=http)
-        found = Group(operator=operator)
+        found = Cluster(operator=operator)
         try:
             for number in CORE:
                 await found.start(number, first=True)
@@ -91,7 +91,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
-        async with group(tmp_path) as found:
+        async with cluster(tmp_path) as found:
             doc = await found.put_version(14, 7)
             for number in CORE:
                 assert await found.read(number) == doc
@@ -113,7 +113,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
-        async with group(tmp_path) as found:
+        async with cluster(tmp_path) as found:
             doc = await found.put_version(11, 7)
             # Two seeds, the leader perhaps among them.
             for number in (11, 12):
@@ -140,7 +140,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
-        async with group(tmp_path) as found:
+        async with cluster(tmp_path) as found:
             doc = await found.put_version(11, 7)
             await found.stop(15)
             await found.start(16)
@@ -157,7 +157,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
-        async with group(tmp_path) as found:
+        async with cluster(tmp_path) as found:
             doc = await found.put_version(11, 7)
             for number in CORE:
                 await found.stop(number)
@@ -175,7 +175,7 @@
     """After a restart of all nodes, only reads wait for a quorum."""
 
     async def main() -> None:
-        async with group(tmp_path) as found:
+        async with cluster(tmp_path) as found:
             await found.put_version(11, 7)
             one = found.up[12]
             await platform_site.until(
@@ -198,7 +198,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
-        async with group(tmp_path) as found:
+        async with cluster(tmp_path) as found:
             await found.put_version(11, 7)
             for number in (11, 12, 13):
                 await found.stop(number)
@@ -253,7 +253,7 @@
     """Guards against resent documents that fill the log and the disks."""
 
     async def main() -> None:
-        async with group(tmp_path) as found:
+        async with cluster(tmp_path) as found:
             doc = await found.put_version(11, 7)
             one = found.up[13]
             await platform_site.until(lambda: one.feed.version == 7)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -14,7 +14,7 @@
 from rackpost.testing import virtual
 from rackpost import types
 
-_BEAT_S = 1.2
+_HEARTBEAT_S = 1.2
 
 
 class Gateway:
@@ -22,18 +22,18 @@
 
     def __init__(self, *, number: int) -> None:
         self.vm = types.VmId(f"edge-{number}")
-        self.told: list[msgspec.Struct] = []
+        self.received: list[msgspec.Struct] = []
         self.bytes = 0
         here, self.there = channel.local_pair(delay_s=0.001)
         here.attach(receive=self._receive, closed=lambda: None)
 
     def _receive(self, msg: msgspec.Struct) -> None:
-        self.told.append(msg)
+        self.received.append(msg)
         self.bytes += len(codec.encode(msg))
 
 
-def linked(count: int) -> tuple[directory.Directory, list[Gateway]]:
-    found = directory.Directory(heartbeat_s=_BEAT_S, rng=random.Random(1))
+def linked_directory(count: int) -> tuple[directory.Directory, list[Gateway]]:
+    found = directory.Directory(heartbeat_s=_HEARTBEAT_S, rng=random.Random(1))
     gateways = [Gateway(number=at) for at in range(count)]
     for one in gateways:
         hello = messages.GatewayHello(vm=one.vm, load_address=f"{one.vm}:1")
@@ -55,14 +55,14 @@
     """With 1,000 endpoints and any number of gateways, no message is sent."""
 
     async def main() -> None:
-        found, gateways = linked(count)
+        found, gateways = linked_directory(count)
         items = [endpoint(number) for number in range(1000)]
         for item in items:
             found.update(item)
         await asyncio.sleep(0.1)
         before = sum(one.bytes for one in gateways)
         for _ in range(10):
-            await asyncio.sleep(_BEAT_S)
+            await asyncio.sleep(_HEARTBEAT_S)
             found.table.record_heartbeats([item.id for item in items], _now())
             found.query_silent()
         await asyncio.sleep(0.1)
@@ -79,22 +79,22 @@
     """During a partition 400 of 1,000 endpoints are silent here."""
 
     async def main() -> None:
-        found, gateways = linked(100)
+        found, gateways = linked_directory(100)
         items = [endpoint(number) for number in range(1000)]
         for item in items:
             found.update(item)
         await asyncio.sleep(4.0)
-        heard = [item.id for item in items[400:]]
-        found.table.record_heartbeats(heard, _now())
+        alive_ids = [item.id for item in items[400:]]
+        found.table.record_heartbeats(alive_ids, _now())
         for one in gateways:
-            one.told.clear()
+            one.received.clear()
             one.bytes = 0
         found.query_silent()
         await asyncio.sleep(0.1)
-        asked = [one for one in gateways if one.told]
-        assert len(asked) == 3
-        for one in asked:
-            (msg,) = one.told
+        queried = [one for one in gateways if one.received]
+        assert len(queried) == 3
+        for one in queried:
+            (msg,) = one.received
             assert isinstance(msg, messages.SilenceQuery)
             assert set(msg.ids) == {item.id for item in items[:400]}
             assert one.bytes < 8_000
@@ -106,19 +106,19 @@
     """The endpoint has restarted, unknown to its old coordinator."""
 
     async def main() -> None:
-        here, _ = linked(1)
-        there, _ = linked(1)
+        here, _ = linked_directory(1)
+        there, _ = linked_directory(1)
         first = msgspec.structs.replace(endpoint(1), born=1000)
         here.update(first)
         there.update(first)
         there.update(msgspec.structs.replace(endpoint(1), born=2000))
-        said = endpoints.Endpoint(
+        notice = endpoints.Endpoint(
             id=first.id, state=endpoints.EndpointState.GONE
         )
-        told = directory.update_for(here.with_incarnation(said))
-        directory.apply_update(there.table, told, _now())
+        received = directory.update_for(here.with_incarnation(notice))
+        directory.apply_update(there.table, received, _now())
         assert there.table.alive[first.id].born == 2000
-        directory.apply_update(here.table, told, _now())
+        directory.apply_update(here.table, received, _now())
         assert not here.table.alive
 
     virtual.run(main())
--- a/tests/test_document_updates.py
+++ b/tests/test_document_updates.py
@@ -36,7 +36,7 @@
         self.table = match.RouteTable()
         self.now = 0.0
         # Answers in flight: arrival time, sender and chunk.
-        self.way: list[tuple[float, str, messages.RoutingChunk]] = []
+        self.in_flight: list[tuple[float, str, messages.RoutingChunk]] = []
 
     def new_document(self) -> None:
         """Add a version that follows the last, with some routes changed."""
@@ -57,7 +57,7 @@
             feed.publish(self.docs[version])
         self.fetch.record_version(name, feed.version)
 
-    def disturb(self) -> None:
+    def inject_fault(self) -> None:
         """Inject a fault at one coordinator."""
         name = self.rng.choice(NAMES)
         kind = self.rng.randrange(4)
@@ -65,7 +65,9 @@
             self.silent ^= {name}
         elif kind == 1:
             self.fetch.remove_peer(name)
-            self.way = [item for item in self.way if item[1] != name]
+            self.in_flight = [
+                item for item in self.in_flight if item[1] != name
+            ]
         elif kind == 2:
             # A restart: it knows only its newest version.
             feed = routing_feed.RoutingFeed()
@@ -80,21 +82,23 @@
     def step(self) -> None:
         """Advance the time: deliver answers and send the next request."""
         self.now += 0.05
-        due = [item for item in self.way if item[0] <= self.now]
-        self.way = [item for item in self.way if item[0] > self.now]
+        due = [item for item in self.in_flight if item[0] <= self.now]
+        self.in_flight = [
+            item for item in self.in_flight if item[0] > self.now
+        ]
         for _, name, part in due:
             arrived = self.fetch.receive(name, part, self.now)
             if arrived is not None:
-                self.use(arrived.data)
+                self.apply(arrived.data)
         ask = self.fetch.next_request(have=self.table.version, now=self.now)
         if ask is None or ask.peer in self.silent:
             return
         answer = self.feeds[ask.peer].chunk(ask.msg)
         if answer is not None:
-            late = self.rng.choice([0.01, 0.05, 0.2, 0.7])
-            self.way.append((self.now + late, ask.peer, answer))
+            delay_s = self.rng.choice([0.01, 0.05, 0.2, 0.7])
+            self.in_flight.append((self.now + delay_s, ask.peer, answer))
 
-    def use(self, data: bytes) -> None:
+    def apply(self, data: bytes) -> None:
         """Apply a complete transfer, as a gateway does."""
         before = self.table.version
         change = changes.decode(data)
@@ -107,7 +111,7 @@
             return
         assert self.table.version > before
         doc = self.docs[self.table.version]
-        assert test_routing_changes.says(self.table, doc)
+        assert test_routing_changes.has_content_of(self.table, doc)
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -120,7 +124,7 @@
         if run.rng.random() < 0.1:
             run.new_document()
         if run.rng.random() < 0.3:
-            run.disturb()
+            run.inject_fault()
         run.step()
     run.silent.clear()
     newest = max(run.docs)
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -75,7 +75,7 @@
     assert not table.is_current(old) and table.has_restarted(old)
 
 
-LIVES = strategies.tuples(
+UPDATES = strategies.tuples(
     strategies.integers(1, 3),
     strategies.integers(0, 3),
     strategies.sampled_from(["ready", "draining", "gone"]),
@@ -86,17 +86,17 @@
 def test_the_last_life_holds_in_whatever_order_words_come(
     order: list[int], data: strategies.DataObject
 ) -> None:
-    words = [data.draw(LIVES) for _ in order]
+    updates = [data.draw(UPDATES) for _ in order]
     table = endpoints.EndpointTable()
     for at in order:
-        born, sequence, state = words[at]
+        born, sequence, state = updates[at]
         if state == "gone":
             table.update(gone(born), 1.0)
         else:
             item = heartbeat(born=born, sequence=sequence, state=state)
             table.update(item, 1.0)
-    lives = [born for born, _, _ in words]
-    ended = {born for born, _, state in words if state == "gone"}
+    lives = [born for born, _, _ in updates]
+    ended = {born for born, _, state in updates if state == "gone"}
     last = max(lives)
     found = table.alive.get(_ID)
     if last in ended:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -45,7 +45,7 @@
     return found
 
 
-def holder(found: match.RouteTable, key: str) -> str:
+def organisation_of(found: match.RouteTable, key: str) -> str:
     """Return the name of a key's organisation; "" if there is none."""
     item = found.organisations.find(keys.digest(key.encode()))
     return "" if item is None else item.name
@@ -55,7 +55,7 @@
     doc = document(1, [organisation("nord", "a", "b", priority=3)])
     found = table(changes.from_empty(doc))
     assert found.organisations.keys_required
-    assert [holder(found, key) for key in ("a", "b", "c")] == [
+    assert [organisation_of(found, key) for key in ("a", "b", "c")] == [
         "nord",
         "nord",
         "",
@@ -144,7 +144,9 @@
         for name in "abcd":
             for key in range(3):
                 held = (versions[-1] or {}).get(name) == key
-                assert holder(found, f"{name}{key}") == (name if held else "")
+                assert organisation_of(found, f"{name}{key}") == (
+                    name if held else ""
+                )
 
 
 def test_a_change_that_makes_other_organisations_changes_nothing() -> None:
--- a/tests/test_large_documents.py
+++ b/tests/test_large_documents.py
@@ -19,9 +19,9 @@
 RATE = 5e6 / 8
 # Limit until a change is in force; operators are promised 2.5 s after the
 # acknowledgement.
-SOON_S = 1.5
+IN_FORCE_LIMIT_S = 1.5
 # Well below the keepalives' timeout of 0.8 s.
-PING_S = 0.3
+PING_LIMIT_S = 0.3
 
 
 def source(version: int, routes: int) -> bytes:
@@ -57,7 +57,7 @@
             one._file_disk.close()
 
 
-async def in_force(link: slow_link.SlowLink, version: int) -> float:
+async def wait_in_force(link: slow_link.SlowLink, version: int) -> float:
     """Wait for a version at the gateway; return the time in seconds."""
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -73,10 +73,10 @@
 
     async def main() -> None:
         async with site(tmp_path, version=7, routes=4200) as (link, _):
-            assert await in_force(link, 7) < SOON_S
+            assert await wait_in_force(link, 7) < IN_FORCE_LIMIT_S
             await asyncio.sleep(5.0)
             assert link.lost == 0
-            assert link.longest_ping_s < PING_S
+            assert link.longest_ping_s < PING_LIMIT_S
 
     virtual.run(main())
 
@@ -88,15 +88,15 @@
 
     async def main() -> None:
         async with site(tmp_path, version=7, routes=1400) as (link, found):
-            await in_force(link, 7)
+            await wait_in_force(link, 7)
             await asyncio.sleep(5.0)
             slow_link.apply_document(found, 8, source(8, 2800))
             await asyncio.sleep(0.1)
             slow_link.apply_document(found, 9, source(9, 2801))
-            assert await in_force(link, 9) < SOON_S
+            assert await wait_in_force(link, 9) < IN_FORCE_LIMIT_S
             await asyncio.sleep(5.0)
             assert link.lost == 0
-            assert link.longest_ping_s < PING_S
+            assert link.longest_ping_s < PING_LIMIT_S
 
     virtual.run(main())
 
@@ -108,11 +108,11 @@
 
     async def main() -> None:
         async with site(tmp_path, version=7, routes=4200) as (link, found):
-            await in_force(link, 7)
+            await wait_in_force(link, 7)
             await asyncio.sleep(5.0)
             before = link.bytes_down
             slow_link.apply_document(found, 8, source(8, 4201))
-            assert await in_force(link, 8) < SOON_S
+            assert await wait_in_force(link, 8) < IN_FORCE_LIMIT_S
             # Includes heartbeats and keepalives of 1.5 s.
             assert link.bytes_down - before < 10_000
 
@@ -126,14 +126,14 @@
 
     async def main() -> None:
         async with site(tmp_path, version=1, routes=4200) as (link, found):
-            await in_force(link, 1)
+            await wait_in_force(link, 1)
             before = link.bytes_down
             for version in range(2, 32):
                 text = source(version, 4200 + 40 * version)
                 slow_link.apply_document(found, version, text)
                 await asyncio.sleep(0.1)
                 assert link.site.version >= version - 5
-            assert await in_force(link, 31) < 0.5
+            assert await wait_in_force(link, 31) < 0.5
             assert link.lost == 0
             # 1,200 routes with some 16 incompressible bytes each.
             assert link.bytes_down - before < 60_000
@@ -148,10 +148,10 @@
 
     async def main() -> None:
         async with site(tmp_path, version=7, routes=1400) as (link, found):
-            await in_force(link, 7)
+            await wait_in_force(link, 7)
             slow_link.apply_document(found, 8, source(8, 5600))
             await asyncio.sleep(0.05)
             link.silence_senders()
-            assert await in_force(link, 8) < SOON_S
+            assert await wait_in_force(link, 8) < IN_FORCE_LIMIT_S
 
     virtual.run(main())
--- a/tests/test_routing_changes.py
+++ b/tests/test_routing_changes.py
@@ -35,7 +35,7 @@
     return found
 
 
-def says(found: match.RouteTable, doc: model.Document) -> bool:
+def has_content_of(found: match.RouteTable, doc: model.Document) -> bool:
     """Whether a table has exactly the content of a document."""
     routes = [found.find(route.host, route.prefix) for route in doc.routes]
     return (
@@ -60,10 +60,10 @@
     steps = [changes.diff(a, b) for a, b in zip(docs, docs[1:])]
     for at, doc in enumerate(docs[:-1]):
         change = changes.decode(changes.encode(changes.merge(steps[at:])))
-        assert says(table(changes.from_empty(doc), change), docs[-1])
+        assert has_content_of(table(changes.from_empty(doc), change), docs[-1])
     change = changes.decode(changes.encode(changes.from_empty(docs[-1])))
-    assert says(table(changes.from_empty(docs[0]), change), docs[-1])
-    assert says(table(change), docs[-1])
+    assert has_content_of(table(changes.from_empty(docs[0]), change), docs[-1])
+    assert has_content_of(table(change), docs[-1])
 
 
 def test_a_change_that_does_not_fit_is_refused() -> None:
@@ -75,7 +75,7 @@
         found = table(changes.from_empty(doc))
         with pytest.raises(exceptions.RoutingError):
             found.apply(change)
-        assert says(found, doc), "nothing was changed"
+        assert has_content_of(found, doc), "nothing was changed"
     with pytest.raises(exceptions.RoutingError):
         table(change)
 
@@ -103,21 +103,21 @@
     )
 
 
-def fetched(
+def fetch_all(
     found: routing_feed.RoutingFeed, have: int
 ) -> tuple[list[messages.RoutingChunk], changes.Change]:
     """Return all chunks for a held version, and the decoded change."""
     parts: list[messages.RoutingChunk] = []
-    asked = messages.FetchRouting(held_version=have)
+    request = messages.FetchRouting(held_version=have)
     while True:
-        part = found.chunk(asked)
+        part = found.chunk(request)
         assert part is not None
         parts.append(part)
         offset = part.offset + len(part.data)
         if offset == part.size:
             data = b"".join(item.data for item in parts)
             return parts, changes.decode(data)
-        asked = messages.FetchRouting(
+        request = messages.FetchRouting(
             held_version=have, digest=part.digest, offset=offset
         )
 
@@ -126,19 +126,19 @@
     docs = [document(v, {at: 1 for at in range(40 + v)}) for v in (3, 5, 9)]
     found = feed(*docs)
     for doc in docs[:-1]:
-        _, change = fetched(found, doc.version)
+        _, change = fetch_all(found, doc.version)
         assert change.base == doc.version
         assert change.size == 9 - doc.version
-        assert says(table(changes.from_empty(doc), change), docs[-1])
+        assert has_content_of(table(changes.from_empty(doc), change), docs[-1])
     assert found.chunk(messages.FetchRouting(held_version=9)) is None
 
 
 @pytest.mark.parametrize("have", [0, 4])
 def test_who_has_none_or_an_unknown_one_is_sent_the_whole(have: int) -> None:
     docs = [document(v, {at: 1 for at in range(40 + v)}) for v in (3, 5, 9)]
-    _, change = fetched(feed(*docs), have)
+    _, change = fetch_all(feed(*docs), have)
     assert change.base == 0
-    assert says(table(change), docs[-1])
+    assert has_content_of(table(change), docs[-1])
 
 
 def test_parts_are_small_and_go_on_through_a_newer_document() -> None:
@@ -147,14 +147,14 @@
     assert first is not None
     assert len(first.data) == routing_feed.CHUNK_BYTES < first.size
     found.publish(many(2, 3001))
-    asked = messages.FetchRouting(
+    request = messages.FetchRouting(
         held_version=0, digest=first.digest, offset=len(first.data)
     )
-    second = found.chunk(asked)
+    second = found.chunk(request)
     assert second is not None
     assert (second.digest, second.offset) == (first.digest, len(first.data))
     # A restarted coordinator does not know the transfer and starts another.
-    other = feed(many(2, 3001)).chunk(asked)
+    other = feed(many(2, 3001)).chunk(request)
     assert other is not None
     assert (other.version, other.offset) == (2, 0)
 
@@ -162,21 +162,21 @@
 def test_what_coordinators_send_of_one_change_is_the_same() -> None:
     """So that any other coordinator can continue a transfer."""
     docs = [many(1, 3000), many(2, 6001)]
-    parts, _ = fetched(feed(*docs), 0)
-    asked = messages.FetchRouting(
+    parts, _ = fetch_all(feed(*docs), 0)
+    request = messages.FetchRouting(
         held_version=0, digest=parts[1].digest, offset=parts[1].offset
     )
-    assert feed(*docs).chunk(asked) == parts[1]
+    assert feed(*docs).chunk(request) == parts[1]
 
 
 def test_memory_for_changes_is_bounded() -> None:
     found = feed(*[many(v, 900) for v in range(1, 40)])
-    _, change = fetched(found, 1)
+    _, change = fetch_all(found, 1)
     assert change.base == 0
-    _, change = fetched(found, 38)
+    _, change = fetch_all(found, 38)
     assert change.base == 0, "as many routes as the whole"
     found.publish(document(40, {at: 39 * 7 + at % 991 for at in range(901)}))
-    _, change = fetched(found, 39)
+    _, change = fetch_all(found, 39)
     assert (change.base, change.size) == (39, 1)
 
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -25,7 +25,7 @@
 
 _SUSPENDED_S = 7.0
 # The constant reading of the monotonic clock.
-_STEADY_S = 1000.0
+_MONOTONIC_S = 1000.0
 
 
 class _Clocks:
@@ -38,8 +38,8 @@
 
     def clock_gettime(self, clock: int) -> float:
         if clock == time.CLOCK_BOOTTIME:
-            return _STEADY_S + self._suspended_s
-        return _STEADY_S
+            return _MONOTONIC_S + self._suspended_s
+        return _MONOTONIC_S
 
     def suspend(self) -> None:
         self._suspended_s += _SUSPENDED_S
@@ -108,13 +108,13 @@
     )
 
     async def main() -> None:
-        giver = _SlowOrders(clocks=clocks)
+        sender = _SlowOrders(clocks=clocks)
         until = asyncio.get_running_loop().time() + 3.0
-        given = await giver.send_order(
+        outcome = await sender.send_order(
             endpoint, types.Role.PREFILL, types.Fence(1), until=until
         )
-        assert given is role_orders.OrderOutcome.REFUSED
-        assert giver.methods == [b"GET"]
+        assert outcome is role_orders.OrderOutcome.REFUSED
+        assert sender.methods == [b"GET"]
 
     clock.run(main())
 
