--- a/rackpost/coordinator/quarantine_keeper.py
+++ b/rackpost/coordinator/quarantine_keeper.py
@@ -113,7 +113,7 @@
         )
 
     def initial_evidence(self) -> messages.Suspicions | None:
-        """Return the evidence for a newly linked gateway; None if empty."""
+        """Return the evidence for a newly linked gateway; None if none."""
         items = self.table.suspicions(quarantine.MIN_ENDED_TO_REPORT)
         return messages.Suspicions(items=items) if items else None
 
--- a/rackpost/coordinator/roles.py
+++ b/rackpost/coordinator/roles.py
@@ -69,7 +69,7 @@
         silent_s: float,
         on_changing: Callable[[], None],
     ) -> None:
-        """Create the manager of one coordinator.
+        """Create the balancer of one coordinator.
 
         `on_changing` is called when the set of changing endpoints changes.  An
         endpoint is left out after `silent_s` without a heartbeat.
@@ -226,13 +226,13 @@
         table = self._directory.table
         known = table.alive.get(change.endpoint.id)
         if known is None:
-            done = "endpoint is gone"
+            outcome = "endpoint is gone"
         elif table.has_restarted(change.endpoint):
-            done = "endpoint restarted"
+            outcome = "endpoint restarted"
         elif known.role is change.role:
-            done = "done"
+            outcome = "done"
         elif now >= change.until:
-            done = "not done in time"
+            outcome = "not done in time"
         else:
             return
         del self._changes[change.endpoint.id]
@@ -245,7 +245,7 @@
             logs.Part.COORDINATOR,
             "Change of role has ended.",
             endpoint=change.endpoint.id,
-            outcome=done,
+            outcome=outcome,
         )
 
     async def _order_change(
--- a/rackpost/routing/endpoints.py
+++ b/rackpost/routing/endpoints.py
@@ -80,8 +80,8 @@
         # Start time of the incarnation that announced in an answer that it
         # leaves, by endpoint; its late heartbeats may still report "ready".
         self._leaving: dict[types.EndpointId, int] = {}
-        # Last state of endpoints that were dropped as unreachable or
-        # replaced; a later heartbeat adds them again.
+        # Last state of dropped endpoints, which sent no notice of their end;
+        # a later heartbeat adds them again.
         self._dropped: dict[types.EndpointId, Endpoint] = {}
 
     def update(self, new: Endpoint, now: float) -> bool:
