--- a/rackpost/coordinator/disk.py
+++ b/rackpost/coordinator/disk.py
@@ -1,4 +1,4 @@
-"""A coordinator's disk: made at the first start, patient when it fails."""
+"""A coordinator's disk: created at the first start, retried on faults."""
 
 import asyncio
 import contextlib
@@ -14,26 +14,26 @@
 from rackpost import exceptions
 from rackpost import logs
 
-# A full or faulty disk is tried again this often, in seconds.
-_AGAIN_S = 0.2
-# Random part of a new replica's id, in bytes: no two are ever the same.
-_NEW_ID_BYTES = 6
+# Pause between attempts to write to a full or faulty disk.
+_RETRY_PAUSE_S = 0.2
+# Random bytes in a new replica's id; make it unique.
+_ID_RANDOM_BYTES = 6
 
 
 class RetryingDisk(storage.Disk):
-    """Tries again until what must be durable is.
+    """A disk that retries each write until it succeeds.
 
-    Meanwhile the replica sends nothing, so that a leader with a faulty
-    disk is followed by another.
+    The replica sends nothing meanwhile, so that a leader with a faulty disk
+    loses its leadership.
     """
 
     def __init__(self, *, disk: storage.FileDisk) -> None:
         self._disk = disk
-        self._well = True
+        self._is_healthy = True
 
     async def save(self, out: output.Output) -> None:
-        """Make an output durable, however long it takes."""
-        await self._until_done(
+        """Make an output durable; retries until it is."""
+        await self._retry(
             lambda: self._disk.save(out), exceptions.StorageError
         )
 
@@ -43,51 +43,51 @@
         hard: consensus.HardState,
         log: log_mod.Log,
     ) -> None:
-        """Replace the log by a snapshot, however long it takes."""
-        await self._until_done(
+        """Replace the log by a snapshot; retries until it is durable."""
+        await self._retry(
             lambda: self._disk.compact(snapshot, hard, log),
             exceptions.StorageError,
             OSError,
         )
 
-    async def _until_done(
+    async def _retry(
         self,
         write: Callable[[], Awaitable[None]],
         *faults: type[Exception],
     ) -> None:
-        """Write again and again while it ends in one of these faults."""
+        """Retry a write while it raises one of these exceptions."""
         while True:
             try:
                 await write()
             except faults as exc:
-                self._failed(exc)
-                await asyncio.sleep(_AGAIN_S)
+                self._record_failure(exc)
+                await asyncio.sleep(_RETRY_PAUSE_S)
             else:
-                self._recovered()
+                self._record_success()
                 return
 
-    def _failed(self, exc: Exception) -> None:
-        if self._well:
+    def _record_failure(self, exc: Exception) -> None:
+        if self._is_healthy:
             logs.say(logs.Part.COORDINATOR, "Disk fails.", why=str(exc))
-        self._well = False
+        self._is_healthy = False
 
-    def _recovered(self) -> None:
-        if not self._well:
+    def _record_success(self) -> None:
+        if not self._is_healthy:
             logs.say(logs.Part.COORDINATOR, "Disk is well again.")
-        self._well = True
+        self._is_healthy = True
 
 
 def open_disk(
     folder: pathlib.Path, *, host: str, first_hosts: tuple[str, ...]
 ) -> tuple[storage.FileDisk, storage.StoredState]:
-    """The disk of this host's replica; a new replica if it has none.
+    """Open the disk of this host's replica, creating it if there is none.
 
     `first_hosts` are the voters of a site that starts for the first time;
-    it is empty for one that runs already.  A replica that finds its log
-    damaged begins anew, under a new id, as if its disk were lost.
+    it is empty for a site that already runs.  If the log is damaged, its
+    files are set aside and a new replica with a new id is created.
     """
     if not (folder / "identity").exists():
-        _make(folder, host=host, first_hosts=first_hosts)
+        _create(folder, host=host, first_hosts=first_hosts)
     disk = storage.FileDisk(folder=folder)
     try:
         return disk, disk.load()
@@ -99,12 +99,12 @@
         )
         disk.close()
     _set_aside(folder)
-    _make(folder, host=host, first_hosts=())
+    _create(folder, host=host, first_hosts=())
     disk = storage.FileDisk(folder=folder)
     return disk, disk.load()
 
 
-def _make(
+def _create(
     folder: pathlib.Path, *, host: str, first_hosts: tuple[str, ...]
 ) -> None:
     if host in first_hosts:
@@ -113,7 +113,7 @@
             consensus.ReplicaId(item) for item in sorted(first_hosts)
         )
     else:
-        replica = f"{host}#{secrets.token_hex(_NEW_ID_BYTES)}"
+        replica = f"{host}#{secrets.token_hex(_ID_RANDOM_BYTES)}"
         voters = ()
     _remove_leftovers(folder)
     storage.create(
@@ -124,7 +124,7 @@
 
 
 def _remove_leftovers(folder: pathlib.Path) -> None:
-    # A log without an identity belongs to nobody.
+    # A log without an identity can't be used.
     for name in ("log", "snapshot", "committed"):
         with contextlib.suppress(FileNotFoundError):
             (folder / name).unlink()
--- a/rackpost/coordinator/roles.py
+++ b/rackpost/coordinator/roles.py
@@ -1,8 +1,8 @@
-"""Changing endpoints' roles: one holder, rising fences, one at a time.
+"""Balances the prefill and decode pools by changing endpoints' roles.
 
-Only the leader gives orders.  It takes a fence in the log when it comes
-to lead, waits until its forerunner's lease has run out, and before each
-order has a quorum confirm that the fence is still its own.
+Only the leader gives orders.  A new leader takes a fence through the log and
+waits until its predecessor's lease has expired; before each order a quorum
+confirms that the fence is still its own.
 """
 
 import asyncio
@@ -20,33 +20,28 @@
 from rackpost.state import commands
 from rackpost import types
 
-# How often the pools are looked at, in seconds.
-_ROUND_S = 0.5
-# An imbalance must last this long before an endpoint is changed, in
-# seconds.
-_LASTS_S = 1.0
-# An order that was not answered may still be carried out this much later
-# (12 s at most, and some for the way), in seconds; no other is given
-# meanwhile.
-_UNANSWERED_S = 13.0
-# A change that the endpoint has not told of after this long has failed,
-# in seconds.
-_CHANGE_S = 20.0
-# After a change, the next waits until its effect can be seen, in seconds.
-_PAUSE_S = 6.0
-# What a gateway told of its demand counts for this long, in seconds:
-# gateways tell it each second.
-_DEMAND_S = 3.0
-# Of a service's endpoints one in so many may change its role at a time.  Of
-# a few no two may be away together; many that changed one after the other
-# would be in proportion only after a crowd has left.
-_ONE_IN = 5
-# The lease's end is awaited with this margin for slow clocks.
-_LEASE_MARGIN = 1.2
+# How often the pools are checked.
+_CHECK_INTERVAL_S = 0.5
+# How long an imbalance must last before an endpoint's role is changed.
+_MIN_IMBALANCE_S = 1.0
+# How long an unanswered order may still take effect (12 s and a margin); no
+# other order is given meanwhile.
+_UNANSWERED_ORDER_S = 13.0
+# A change that no heartbeat has reported within this time has failed.
+_CHANGE_TIMEOUT_S = 20.0
+# Pause after a change, until its effect on the demand is visible.
+_PAUSE_AFTER_CHANGE_S = 6.0
+# How long a gateway's report of its demand is valid; one comes each second.
+_DEMAND_VALID_S = 3.0
+# One in this many endpoints of a service may change its role at a time:
+# limits lost capacity, yet lets large pools follow a burst.
+_ENDPOINTS_PER_CHANGE = 5
+# Factor on the predecessor's lease, for clock drift.
+_LEASE_FACTOR = 1.2
 
 
 class _Change(NamedTuple):
-    """A change of role that is under way; it has failed after `until`."""
+    """A change of role in progress; it has failed after `until`."""
 
     service: types.ServiceName
     endpoint: endpoints.Endpoint
@@ -54,15 +49,15 @@
     until: float
 
 
-class _Told(NamedTuple):
-    """What a gateway's clients ask for, and when it said so."""
+class _DemandReport(NamedTuple):
+    """The demand at one gateway, and when it was received."""
 
     at: float
     items: tuple[role_balance.Demand, ...]
 
 
-class RoleKeeper:
-    """Keeps the pools of each model service in proportion."""
+class RoleBalancer:
+    """Balances the prefill and decode pools of each model service."""
 
     def __init__(
         self,
@@ -72,11 +67,12 @@
         vm: types.VmId,
         lease_s: float,
         silent_s: float,
-        changing: Callable[[], None],
+        on_changing: Callable[[], None],
     ) -> None:
-        """`changing` is called when the set of changing endpoints changes.
+        """Create the balancer of one coordinator.
 
-        An endpoint is left out after `silent_s` without a heartbeat.
+        `on_changing` is called when the set of changing endpoints changes.  An
+        endpoint is left out after `silent_s` without a heartbeat.
         """
         self._loop = asyncio.get_running_loop()
         self._node = node
@@ -90,44 +86,44 @@
         )
         self._lease_s = lease_s
         self._silent_s = silent_s
-        self._changing = changing
-        self._demands: dict[types.VmId, _Told] = {}
+        self._on_changing = on_changing
+        self._demands: dict[types.VmId, _DemandReport] = {}
         self._fence = types.Fence(0)
         self._fence_term = -1
         self._may_order_at = 0.0
-        self._since: dict[types.ServiceName, float] = {}
+        self._imbalance_since: dict[types.ServiceName, float] = {}
         self._changes: dict[types.EndpointId, _Change] = {}
         self._not_before: dict[types.ServiceName, float] = {}
 
     @property
     def changing(self) -> tuple[types.EndpointId, ...]:
-        """Endpoints that are changing their role."""
+        """The endpoints that are changing their role."""
         return tuple(self._changes)
 
     def record_demand(
         self, vm: types.VmId, items: tuple[role_balance.Demand, ...]
     ) -> None:
-        """A gateway tells what its clients ask for."""
-        self._demands[vm] = _Told(at=self._loop.time(), items=items)
+        """Record the demand that a gateway reports."""
+        self._demands[vm] = _DemandReport(at=self._loop.time(), items=items)
 
     async def run(self) -> None:
-        """Keep the roles until cancelled."""
+        """Balance the pools until cancelled."""
         while True:
-            await asyncio.sleep(_ROUND_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             self._orders.sweep()
             if not self._node.is_leader:
                 self._fence_term = -1
-                self._since.clear()
-                self._follow_changes()
+                self._imbalance_since.clear()
+                self._check_changes()
                 continue
             if self._fence_term != self._node.term:
                 await self._take_fence()
                 continue
             for service in self._services():
-                await self._look(service)
+                await self._balance(service)
 
-    def _follow_changes(self) -> None:
-        """Changes that were ordered go on after this node's lead."""
+    def _check_changes(self) -> None:
+        """Track ordered changes to their end, also after leadership ends."""
         for change in list(self._changes.values()):
             self._end_change(change, self._loop.time())
 
@@ -138,7 +134,7 @@
             return
         self._fence = result.fence
         self._fence_term = term
-        wait_s = self._lease_s * _LEASE_MARGIN
+        wait_s = self._lease_s * _LEASE_FACTOR
         self._may_order_at = self._loop.time() + wait_s
         logs.say(
             logs.Part.COORDINATOR,
@@ -167,19 +163,19 @@
         ]
 
     def _demand(self, service: types.ServiceName) -> role_balance.Demand:
-        """What all gateways' clients ask for."""
+        """Return the total demand at all gateways."""
         now = self._loop.time()
         found = [
             item
-            for told in self._demands.values()
-            for item in told.items
-            if item.service == service and now - told.at < _DEMAND_S
+            for report in self._demands.values()
+            for item in report.items
+            if item.service == service and now - report.at < _DEMAND_VALID_S
         ]
         return role_balance.total(service, found)
 
-    async def _look(self, service: types.ServiceName) -> None:
+    async def _balance(self, service: types.ServiceName) -> None:
         now = self._loop.time()
-        self._follow_changes()
+        self._check_changes()
         members = self._members(service)
         if not self._may_change(service, members, now):
             return
@@ -187,15 +183,15 @@
         demand = self._demand(service)
         role = role_balance.role_to_add(pools, demand)
         if role is None:
-            self._since.pop(service, None)
+            self._imbalance_since.pop(service, None)
             return
-        since = self._since.setdefault(service, now)
-        if now - since < _LASTS_S:
+        since = self._imbalance_since.setdefault(service, now)
+        if now - since < _MIN_IMBALANCE_S:
             return
-        await self._change(service, role, members, pools, demand)
+        await self._order_change(service, role, members, pools, demand)
         if not self._may_change(service, members, self._loop.time()):
-            # The next imbalance has to last from its own beginning.
-            self._since.pop(service, None)
+            # The next imbalance is timed from its own start.
+            self._imbalance_since.pop(service, None)
 
     def _may_change(
         self,
@@ -203,16 +199,16 @@
         members: list[endpoints.Endpoint],
         now: float,
     ) -> bool:
-        under_way = sum(
+        in_progress = sum(
             1 for item in self._changes.values() if item.service == service
         )
-        if under_way >= max(1, len(members) // _ONE_IN):
+        if in_progress >= max(1, len(members) // _ENDPOINTS_PER_CHANGE):
             return False
-        waits_until = self._not_before.get(service, 0.0)
-        return now >= self._may_order_at and now >= waits_until
+        not_before = self._not_before.get(service, 0.0)
+        return now >= self._may_order_at and now >= not_before
 
     def _pools(self, members: list[endpoints.Endpoint]) -> role_balance.Pools:
-        """The pools as they will be when what was ordered is done."""
+        """Return the pools as they will be after all ordered changes."""
         roles = [
             (
                 self._changes[item.id].role
@@ -230,29 +226,29 @@
         table = self._directory.table
         known = table.alive.get(change.endpoint.id)
         if known is None:
-            done = "endpoint is gone"
+            outcome = "endpoint is gone"
         elif table.has_restarted(change.endpoint):
-            done = "endpoint has started again"
+            outcome = "endpoint restarted"
         elif known.role is change.role:
-            done = "done"
+            outcome = "done"
         elif now >= change.until:
-            done = "not done in time"
+            outcome = "not done in time"
         else:
             return
         del self._changes[change.endpoint.id]
         if not any(
             item.service == change.service for item in self._changes.values()
         ):
-            self._not_before[change.service] = now + _PAUSE_S
-        self._changing()
+            self._not_before[change.service] = now + _PAUSE_AFTER_CHANGE_S
+        self._on_changing()
         logs.say(
             logs.Part.COORDINATOR,
             "Change of role has ended.",
             endpoint=change.endpoint.id,
-            outcome=done,
+            outcome=outcome,
         )
 
-    async def _change(
+    async def _order_change(
         self,
         service: types.ServiceName,
         role: types.Role,
@@ -271,12 +267,12 @@
             ),
             key=lambda item: item.id,
         )
-        # Who follows waits for longer than a lease from here.
+        # A successor waits for longer than one lease from here.
         until = self._loop.time() + self._lease_s
         if not others or not await self._is_still_holder():
             return
         endpoint = others[0]
-        given = await self._orders.send_order(
+        result = await self._orders.send_order(
             endpoint, role, self._fence, until=until
         )
         logs.say(
@@ -284,42 +280,42 @@
             "Ordered a change of role.",
             endpoint=endpoint.id,
             role=role.value,
-            outcome=given.value,
+            outcome=result.value,
             fence=self._fence,
             prefill_endpoints=pools.prefill,
             decode_endpoints=pools.decode,
             prefill_demand=round(demand.prefill, 2),
             decode_demand=round(demand.decode, 2),
         )
-        self._note(service, endpoint, role, given)
+        self._record_outcome(service, endpoint, role, result)
 
-    def _note(
+    def _record_outcome(
         self,
         service: types.ServiceName,
         endpoint: endpoints.Endpoint,
         role: types.Role,
-        given: role_orders.OrderOutcome,
+        result: role_orders.OrderOutcome,
     ) -> None:
         now = self._loop.time()
-        if given is role_orders.OrderOutcome.FENCED:
-            # Somebody else leads; this one learns it soon.
-            self._may_order_at = now + _UNANSWERED_S
-        elif given is role_orders.OrderOutcome.BARRED:
-            # The next round finds another one.
+        if result is role_orders.OrderOutcome.FENCED:
+            # Another coordinator leads; this one will learn of it.
+            self._may_order_at = now + _UNANSWERED_ORDER_S
+        elif result is role_orders.OrderOutcome.INELIGIBLE:
+            # The next round chooses another endpoint.
             return
-        elif given is role_orders.OrderOutcome.REFUSED:
-            self._not_before[service] = now + _PAUSE_S
+        elif result is role_orders.OrderOutcome.REFUSED:
+            self._not_before[service] = now + _PAUSE_AFTER_CHANGE_S
         else:
-            wait_s = _CHANGE_S
-            if given is role_orders.OrderOutcome.UNKNOWN:
-                wait_s = _UNANSWERED_S
+            wait_s = _CHANGE_TIMEOUT_S
+            if result is role_orders.OrderOutcome.UNKNOWN:
+                wait_s = _UNANSWERED_ORDER_S
             self._changes[endpoint.id] = _Change(
                 service=service,
                 endpoint=endpoint,
                 role=role,
                 until=now + wait_s,
             )
-            self._changing()
+            self._on_changing()
 
     async def _is_still_holder(self) -> bool:
         if not await self._node.confirm_read():
--- a/rackpost/routing/match.py
+++ b/rackpost/routing/match.py
@@ -1,4 +1,7 @@
-"""Finding the route of a request, and the service within it.  Pure."""
+"""Finds the route of a request and chooses its service.
+
+Pure: no input or output.
+"""
 
 import collections
 import random
@@ -15,7 +18,7 @@
 
     def __init__(self) -> None:
         self._routes: dict[str, model.Route] = {}
-        # At least as long as any prefix.
+        # Upper bound of the prefixes' lengths.
         self._longest = 0
 
     def __len__(self) -> int:
@@ -25,7 +28,7 @@
         return prefix in self._routes
 
     def put(self, route: model.Route) -> None:
-        """Add a route, or put it in place of the one with its prefix."""
+        """Add a route, replacing the one with the same prefix."""
         self._routes[route.prefix] = route
         self._longest = max(self._longest, len(route.prefix))
 
@@ -34,11 +37,10 @@
         self._routes.pop(prefix, None)
 
     def find(self, path: str) -> model.Route | None:
-        """The route with the longest prefix of `path`.
+        """Return the route with the longest prefix of `path`, if any.
 
-        Prefixes end with a slash, so that only what ends with one is
-        looked up: a request costs its own depth and not the number of
-        routes, of which a host may have thousands.
+        Prefixes end with a slash, so that one look-up per path segment is
+        enough, however many routes the host has.
         """
         end = min(len(path), self._longest)
         while (cut := path.rfind("/", 0, end)) >= 0:
@@ -53,14 +55,10 @@
 
 
 class RouteTable:
-    """The routes in force.
-
-    Changes are put in place, so that one costs what it changes: one route
-    0.06 ms of a whole core, a table of 4,200 some 5 ms.
-    """
+    """The routes in force; changes are applied incrementally."""
 
     def __init__(self) -> None:
-        """A table of no document."""
+        """Create the table of no document."""
         self.version = 0
         self.services: dict[types.ServiceName, model.Service] = {}
         self.limits = model.Limits()
@@ -71,26 +69,26 @@
 
     @property
     def count(self) -> int:
-        """How many routes there are; a table may well have none."""
+        """Number of routes."""
         return sum(len(routes) for routes in self._by_host.values())
 
     def apply(self, change: changes.Change) -> None:
-        """Go on to another version.
+        """Apply a change.
 
-        Raises RoutingError, and changes nothing, where the change is not
-        one of the version held, or does not make the routes it should.
+        Raises RoutingError and leaves the table as it is if the change has
+        another base version or its result has an unexpected size.
         """
         if change.base not in (0, self.version):
             raise exceptions.RoutingError(
                 f"a change of version {change.base} does not fit "
                 f"{self.version}"
             )
-        callers = self.organisations.with_change(change)
+        changed_organisations = self.organisations.with_change(change)
         if change.base == 0:
             self._replace(change)
         else:
-            self._alter(change)
-        self.organisations = callers
+            self._update(change)
+        self.organisations = changed_organisations
         self.services = {item.name: item for item in change.services}
         self.limits = change.limits
         self.version = change.version
@@ -102,25 +100,25 @@
         _check_count(change, sum(len(routes) for routes in by_host.values()))
         self._by_host = by_host
 
-    def _alter(self, change: changes.Change) -> None:
-        # One that came and went since `base` is named as removed, too.
-        gone = sum(self._holds(key) for key in change.removed)
-        new = sum(not self._holds(route.key) for route in change.put)
+    def _update(self, change: changes.Change) -> None:
+        # `removed` may name routes added and removed again since `base`.
+        gone = sum(self._has_route(key) for key in change.removed)
+        new = sum(not self._has_route(route.key) for route in change.put)
         _check_count(change, self.count - gone + new)
         for key in change.removed:
             self._by_host[key.host].remove(key.prefix)
         for route in change.put:
             self._by_host[route.host.lower()].put(route)
 
-    def _holds(self, key: model.RouteKey) -> bool:
+    def _has_route(self, key: model.RouteKey) -> bool:
         return key.prefix in self._by_host[key.host]
 
     def find(self, host: str, path: str) -> model.Route | None:
-        """The route with the longest prefix of `path` (no query)."""
+        """Return the route with the longest prefix of `path` (no query)."""
         name = host.lower()
         routes = self._by_host.get(name)
         if routes is None:
-            # A port in the Host header is not part of the name.
+            # Ignore a port in the Host header.
             bare = name.rsplit(":", 1)[0]
             routes = self._by_host.get(bare, _NO_ROUTES)
         return routes.find(path)
@@ -129,14 +127,14 @@
 def _check_count(change: changes.Change, count: int) -> None:
     if count != change.routes:
         raise exceptions.RoutingError(
-            f"{count} routes in place of {change.routes}"
+            f"{count} routes, expected {change.routes}"
         )
 
 
 def choose_service(
     route: model.Route, rng: random.Random
 ) -> types.ServiceName:
-    """One of the route's services, by weight."""
+    """Choose one of the route's services at random, by weight."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys: documents that name them, and changes of them."""
+"""Callers' keys in routing documents and in changes of documents."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 
 def organisation(name: str, *shown: str, **more: object) -> dict:
-    """An organisation as operators write it."""
+    """Return an organisation as in an operator's document."""
     found = {
         "name": name,
         "apiKeys": list(shown),
@@ -31,7 +31,7 @@
 
 
 def document(version: int, organisations: list[dict] | None) -> model.Document:
-    """A document in which these organisations have keys."""
+    """Return a document with these organisations."""
     doc = platform_site.document(version)
     if organisations is not None:
         doc["tenants"] = organisations
@@ -45,8 +45,8 @@
     return found
 
 
-def holder(found: match.RouteTable, key: str) -> str:
-    """Whose key it is; "" if it is nobody's."""
+def organisation_of(found: match.RouteTable, key: str) -> str:
+    """Return the name of a key's organisation; "" if there is none."""
     item = found.organisations.find(keys.digest(key.encode()))
     return "" if item is None else item.name
 
@@ -55,7 +55,7 @@
     doc = document(1, [organisation("nord", "a", "b", priority=3)])
     found = table(changes.from_empty(doc))
     assert found.organisations.keys_required
-    assert [holder(found, key) for key in ("a", "b", "c")] == [
+    assert [organisation_of(found, key) for key in ("a", "b", "c")] == [
         "nord",
         "nord",
         "",
@@ -120,7 +120,7 @@
 def test_changes_lead_from_any_keys_to_any_later_ones(
     versions: list[dict[str, int] | None],
 ) -> None:
-    """Also where organisations, or all keys, come and go."""
+    """Also where organisations, or all keys, are added and removed."""
     docs = [
         document(
             at + 1,
@@ -144,7 +144,9 @@
         for name in "abcd":
             for key in range(3):
                 held = (versions[-1] or {}).get(name) == key
-                assert holder(found, f"{name}{key}") == (name if held else "")
+                assert organisation_of(found, f"{name}{key}") == (
+                    name if held else ""
+                )
 
 
 def test_a_change_that_makes_other_organisations_changes_nothing() -> None:
@@ -161,7 +163,7 @@
 
 
 def test_one_key_more_costs_what_it_is() -> None:
-    """Of 630 organisations with two keys each, one gets a third."""
+    """One of 630 organisations with two keys each gets a third key."""
     held = [
         organisation(f"organisation-{at}", f"{at}-1", f"{at}-2")
         for at in range(630)
--- a/tests/test_routing_changes.py
+++ b/tests/test_routing_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the routing document, and the parts that they are sent in."""
+"""Changes of the routing document, and the chunks they are sent in."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 
 def document(version: int, routes: dict[int, int]) -> model.Document:
-    """A document with these routes, each with a time-out in ms."""
+    """Return a document with these routes, each with a timeout in ms."""
     doc = platform_site.document(version)
     first = doc["routes"][0]
     doc["routes"] = [
@@ -28,15 +28,15 @@
 
 
 def table(*steps: changes.Change) -> match.RouteTable:
-    """What a gateway has after these."""
+    """Return a gateway's table after these changes."""
     found = match.RouteTable()
     for step in steps:
         found.apply(step)
     return found
 
 
-def says(found: match.RouteTable, doc: model.Document) -> bool:
-    """Whether a table is what a document says."""
+def has_content_of(found: match.RouteTable, doc: model.Document) -> bool:
+    """Whether a table has exactly the content of a document."""
     routes = [found.find(route.host, route.prefix) for route in doc.routes]
     return (
         found.version == doc.version
@@ -60,22 +60,22 @@
     steps = [changes.diff(a, b) for a, b in zip(docs, docs[1:])]
     for at, doc in enumerate(docs[:-1]):
         change = changes.decode(changes.encode(changes.merge(steps[at:])))
-        assert says(table(changes.from_empty(doc), change), docs[-1])
+        assert has_content_of(table(changes.from_empty(doc), change), docs[-1])
     change = changes.decode(changes.encode(changes.from_empty(docs[-1])))
-    assert says(table(changes.from_empty(docs[0]), change), docs[-1])
-    assert says(table(change), docs[-1])
+    assert has_content_of(table(changes.from_empty(docs[0]), change), docs[-1])
+    assert has_content_of(table(change), docs[-1])
 
 
 def test_a_change_that_does_not_fit_is_refused() -> None:
     docs = [document(at, {at: 1}) for at in (1, 2, 3)]
     change = changes.diff(docs[1], docs[2])
-    # The last has the version but other routes.
+    # The last one has the right version but other routes.
     other = [docs[0], document(2, {7: 1, 8: 1})]
     for doc in other:
         found = table(changes.from_empty(doc))
         with pytest.raises(exceptions.RoutingError):
             found.apply(change)
-        assert says(found, doc), "nothing was changed"
+        assert has_content_of(found, doc), "nothing was changed"
     with pytest.raises(exceptions.RoutingError):
         table(change)
 
@@ -89,7 +89,7 @@
 
 
 def feed(*docs: model.Document) -> routing_feed.RoutingFeed:
-    """A feed that has had these."""
+    """Return a feed that has published these documents."""
     found = routing_feed.RoutingFeed()
     for doc in docs:
         found.publish(doc)
@@ -97,27 +97,27 @@
 
 
 def many(version: int, count: int) -> model.Document:
-    """A document whose change from another takes several parts."""
+    """Return a document whose change from another takes several chunks."""
     return document(
         version, {at: version * 7 + at % 991 for at in range(count)}
     )
 
 
-def fetched(
+def fetch_all(
     found: routing_feed.RoutingFeed, have: int
 ) -> tuple[list[messages.RoutingChunk], changes.Change]:
-    """All parts for who has a version, and the change that they make."""
+    """Return all chunks for a held version, and the decoded change."""
     parts: list[messages.RoutingChunk] = []
-    asked = messages.FetchRouting(held_version=have)
+    request = messages.FetchRouting(held_version=have)
     while True:
-        part = found.chunk(asked)
+        part = found.chunk(request)
         assert part is not None
         parts.append(part)
         offset = part.offset + len(part.data)
         if offset == part.size:
             data = b"".join(item.data for item in parts)
             return parts, changes.decode(data)
-        asked = messages.FetchRouting(
+        request = messages.FetchRouting(
             held_version=have, digest=part.digest, offset=offset
         )
 
@@ -126,19 +126,19 @@
     docs = [document(v, {at: 1 for at in range(40 + v)}) for v in (3, 5, 9)]
     found = feed(*docs)
     for doc in docs[:-1]:
-        _, change = fetched(found, doc.version)
+        _, change = fetch_all(found, doc.version)
         assert change.base == doc.version
         assert change.size == 9 - doc.version
-        assert says(table(changes.from_empty(doc), change), docs[-1])
+        assert has_content_of(table(changes.from_empty(doc), change), docs[-1])
     assert found.chunk(messages.FetchRouting(held_version=9)) is None
 
 
 @pytest.mark.parametrize("have", [0, 4])
 def test_who_has_none_or_an_unknown_one_is_sent_the_whole(have: int) -> None:
     docs = [document(v, {at: 1 for at in range(40 + v)}) for v in (3, 5, 9)]
-    _, change = fetched(feed(*docs), have)
+    _, change = fetch_all(feed(*docs), have)
     assert change.base == 0
-    assert says(table(change), docs[-1])
+    assert has_content_of(table(change), docs[-1])
 
 
 def test_parts_are_small_and_go_on_through_a_newer_document() -> None:
@@ -147,43 +147,43 @@
     assert first is not None
     assert len(first.data) == routing_feed.CHUNK_BYTES < first.size
     found.publish(many(2, 3001))
-    asked = messages.FetchRouting(
+    request = messages.FetchRouting(
         held_version=0, digest=first.digest, offset=len(first.data)
     )
-    second = found.chunk(asked)
+    second = found.chunk(request)
     assert second is not None
     assert (second.digest, second.offset) == (first.digest, len(first.data))
-    # One that has started again knows nothing of it, and begins anew.
-    other = feed(many(2, 3001)).chunk(asked)
+    # A restarted coordinator does not know the transfer and starts another.
+    other = feed(many(2, 3001)).chunk(request)
     assert other is not None
     assert (other.version, other.offset) == (2, 0)
 
 
 def test_what_coordinators_send_of_one_change_is_the_same() -> None:
-    """So that the rest of a transfer comes from any other one."""
+    """So that any other coordinator can continue a transfer."""
     docs = [many(1, 3000), many(2, 6001)]
-    parts, _ = fetched(feed(*docs), 0)
-    asked = messages.FetchRouting(
+    parts, _ = fetch_all(feed(*docs), 0)
+    request = messages.FetchRouting(
         held_version=0, digest=parts[1].digest, offset=parts[1].offset
     )
-    assert feed(*docs).chunk(asked) == parts[1]
+    assert feed(*docs).chunk(request) == parts[1]
 
 
 def test_memory_for_changes_is_bounded() -> None:
     found = feed(*[many(v, 900) for v in range(1, 40)])
-    _, change = fetched(found, 1)
+    _, change = fetch_all(found, 1)
     assert change.base == 0
-    _, change = fetched(found, 38)
+    _, change = fetch_all(found, 38)
     assert change.base == 0, "as many routes as the whole"
     found.publish(document(40, {at: 39 * 7 + at % 991 for at in range(901)}))
-    _, change = fetched(found, 39)
+    _, change = fetch_all(found, 39)
     assert (change.base, change.size) == (39, 1)
 
 
 def test_a_change_is_made_once_for_all_gateways_that_need_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Hundreds of gateways ask for the same within a few milliseconds."""
+    """Guards against encoding the same change once for each gateway."""
     made = []
     encode = changes.encode
     joined = changes.merge
@@ -199,5 +199,5 @@
         assert (
             found.chunk(messages.FetchRouting(held_version=have)) is not None
         )
-    # From 3, from 5, and the whole for who has none or an unknown one.
+    # From 3, from 5, and the whole for no version or an unknown one.
     assert sorted(made) == ["e", "e", "e", "j", "j"]
