--- a/rackpost/consensus/follower_log.py
+++ b/rackpost/consensus/follower_log.py
@@ -1,4 +1,7 @@
-"""A follower's log takes what its leader sends.  Pure."""
+"""Apply a leader's records and snapshots to a follower's log.
+
+Pure: the changes for the disk go to the replica's `Output`.
+"""
 
 from typing import Sequence
 
@@ -13,9 +16,9 @@
     entries: Sequence[m.Entry],
     commit: m.Index,
 ) -> None:
-    """Put a leader's records into the log; those that differ give way.
+    """Append a leader's records after removing conflicting ones.
 
-    What is committed up to `commit` can't differ.
+    Records up to `commit` are skipped: they are committed and can't conflict.
     """
     for at, entry in enumerate(entries):
         if entry.index <= commit:
@@ -24,14 +27,16 @@
         if term == entry.term:
             continue
         if term is not None:
-            _cut(log, out, entry.index)
+            _truncate_from(log, out, entry.index)
         log.append(entries[at:])
         out.append += entries[at:]
         return
 
 
-def _cut(log: log_mod.Log, out: output.Output, index: m.Index) -> None:
-    log.cut(index)
+def _truncate_from(
+    log: log_mod.Log, out: output.Output, index: m.Index
+) -> None:
+    log.truncate_from(index)
     out.append = [item for item in out.append if item.index < index]
     if out.cut_from is None or index < out.cut_from:
         out.cut_from = index
@@ -40,7 +45,7 @@
 def install_snapshot(
     log: log_mod.Log, out: output.Output, snapshot: m.Snapshot
 ) -> None:
-    """Put a leader's snapshot in place of all that it covers."""
+    """Replace the records that a leader's snapshot covers by it."""
     log.compact(snapshot)
     out.install = snapshot
     out.append = [item for item in out.append if item.index > snapshot.index]
--- a/rackpost/consensus/followers.py
+++ b/rackpost/consensus/followers.py
@@ -1,6 +1,6 @@
-"""What a leader knows of the other replicas.  Pure.
+"""The replication progress of each replica, as its leader tracks it.
 
-Times are readings of the leader's own clock, in seconds.
+Pure.  Times are readings of the leader's own clock, in seconds.
 """
 
 from typing import Callable
@@ -8,51 +8,50 @@
 
 from rackpost.consensus import messages as m
 
-# A snapshot that has no answer is sent again after the first time, then
-# after twice the last, up to the second, in seconds: one on its way must not
-# be joined by copies.  A new link, which lost it, has it at once.
+# Back-off before an unanswered snapshot is resent, so that copies of one in
+# transit do not pile up.  A new link resets it.
 _FIRST_INSTALL_WAIT_S = 0.6
 _MAX_INSTALL_WAIT_S = 5.0
 
 
 class FollowerProgress:
-    """How far one replica is, as far as its leader knows.
+    """The replication progress of one replica.
 
     Attributes:
-        next_index: the index of the record that it is sent next.
-        match_index: up to where its log is known to be the leader's.
-        number: the newest round of the leader that it has answered.
-        last_contact_at: when it was heard last.
+        next_index: index of the next record to send.
+        match_index: highest index known to match the leader's log.
+        answered_round: newest round of heartbeats that it has answered.
+        last_contact_at: when its last reply arrived.
     """
 
     def __init__(self, *, next_index: int, now: float) -> None:
         self.next_index = next_index
         self.match_index = 0
-        self.number = 0
+        self.answered_round = 0
         self.last_contact_at = now
         self._install_at = now
         self._install_wait_s = _FIRST_INSTALL_WAIT_S
 
-    def record_reply(self, number: int, now: float) -> None:
-        """It has answered a round."""
+    def record_reply(self, round_number: int, now: float) -> None:
+        """Record a reply to the round `round_number`."""
         self.last_contact_at = now
-        self.number = max(self.number, number)
+        self.answered_round = max(self.answered_round, round_number)
 
     def record_match(self, index: int) -> None:
-        """Its log is the leader's up to `index`."""
+        """Record that its log matches the leader's up to `index`."""
         self._install_wait_s = _FIRST_INSTALL_WAIT_S
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, self.match_index + 1)
 
     def record_mismatch(self, hint: int) -> bool:
-        """Its log may match up to `hint`; whether that is news."""
+        """Move back to `hint`; whether `next_index` has changed."""
         if hint + 1 >= self.next_index:
             return False
         self.next_index = max(hint, self.match_index) + 1
         return True
 
     def try_start_install(self, now: float) -> bool:
-        """Whether it may be sent a snapshot now; if so, it is."""
+        """Whether a snapshot may be sent now; if so, start its back-off."""
         if now < self._install_at:
             return False
         self._install_at = now + self._install_wait_s
@@ -61,31 +60,31 @@
         )
         return True
 
-    def relinked(self) -> None:
-        """What was sent over its old link is lost."""
+    def reset_install(self) -> None:
+        """Allow a snapshot at once: the old link and its messages are lost."""
         self._install_at = 0.0
         self._install_wait_s = _FIRST_INSTALL_WAIT_S
 
 
 class ProgressTracker:
-    """All other replicas, as one leader knows them in one term."""
+    """The progress of the other replicas during one leader's term."""
 
     def __init__(self, *, me: m.ReplicaId) -> None:
         self._me = me
-        self._known: dict[m.ReplicaId, FollowerProgress] = {}
+        self._by_replica: dict[m.ReplicaId, FollowerProgress] = {}
 
     def find(self, peer: m.ReplicaId) -> FollowerProgress | None:
-        """What is known of a replica."""
-        return self._known.get(peer)
+        """Return the progress of a replica, or None if it is not tracked."""
+        return self._by_replica.get(peer)
 
-    def take(
+    def get_or_add(
         self, peer: m.ReplicaId, *, next_index: int, now: float
     ) -> FollowerProgress:
-        """What is known of a replica, from now on at the latest."""
-        found = self._known.get(peer)
+        """Return the progress of a replica; start to track it if needed."""
+        found = self._by_replica.get(peer)
         if found is None:
             found = FollowerProgress(next_index=next_index, now=now)
-            self._known[peer] = found
+            self._by_replica[peer] = found
         return found
 
     def quorum_value(
@@ -93,25 +92,25 @@
         voters: Iterable[m.ReplicaId],
         needed: int,
         *,
-        mine: int,
-        of: Callable[[FollowerProgress], int],
+        own_value: int,
+        value_of: Callable[[FollowerProgress], int],
     ) -> int:
-        """The highest figure that `needed` of the voters have reached.
+        """Return the highest value that `needed` of the voters have reached.
 
-        `mine` is the leader's own, `of` takes it from a follower.
+        `own_value` is the leader's, `value_of` reads a follower's.
         """
-        marks = sorted(self._marks(voters, mine, of))
-        return marks[len(marks) - needed]
+        values = sorted(self._values(voters, own_value, value_of))
+        return values[len(values) - needed]
 
-    def _marks(
+    def _values(
         self,
         voters: Iterable[m.ReplicaId],
-        mine: int,
-        of: Callable[[FollowerProgress], int],
+        own_value: int,
+        value_of: Callable[[FollowerProgress], int],
     ) -> Iterable[int]:
         for peer in voters:
-            known = self._known.get(peer)
+            known = self._by_replica.get(peer)
             if peer == self._me:
-                yield mine
+                yield own_value
             else:
-                yield 0 if known is None else of(known)
+                yield 0 if known is None else value_of(known)
--- a/rackpost/consensus/log.py
+++ b/rackpost/consensus/log.py
@@ -1,4 +1,7 @@
-"""A replica's log in memory: a snapshot and the records after it."""
+"""A replica's log in memory: a snapshot and the records after it.
+
+Pure: `storage` keeps the log on the disk.
+"""
 
 from typing import Sequence
 
@@ -8,10 +11,7 @@
 
 
 class Log:
-    """The records after a snapshot.
-
-    Pure: what is on the disk, or is to be there, is the storage's matter.
-    """
+    """A snapshot and the records after it."""
 
     def __init__(self, snapshot: m.Snapshot | None = None) -> None:
         self.snapshot = snapshot or m.Snapshot(
@@ -30,7 +30,7 @@
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     def term_at(self, index: int) -> m.Term | None:
-        """Term of a record; None where the log does not hold it."""
+        """Return the term of a record, or None if the log does not hold it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         at = index - self.snapshot.index - 1
@@ -39,13 +39,17 @@
         return None
 
     def is_covered_by(self, term: m.Term, index: m.Index) -> bool:
-        """Whether a log that ends so holds all that this one may have."""
+        """Whether a log that ends with (`term`, `index`) is as up to date.
+
+        This is Raft's check before a vote.
+        """
         return (term, index) >= (self.last_term, self.last_index)
 
     def conflict_hint(self, index: int, *, down_to: int) -> int:
-        """Where another log may agree that differs at `index`.
+        """Return an index at which a log that differs at `index` may agree.
 
-        A whole term is skipped at once, down to what is committed.
+        Skips the whole term of the record at `index`, but not below
+        `down_to`.
         """
         hint = min(self.last_index, index - 1)
         term = self.term_at(index)
@@ -54,12 +58,13 @@
                 hint -= 1
         return hint
 
-    def after(
+    def entries_after(
         self, index: int, limit: int, max_bytes: int | None = None
     ) -> tuple[m.Entry, ...]:
-        """At most `limit` records that follow `index`.
+        """Return at most `limit` records that follow `index`.
 
-        With `max_bytes` the commands of all but the first are within it.
+        With `max_bytes`, stop before the record whose command exceeds that
+        total; the first record is always returned.
         """
         at = index - self.snapshot.index
         found = self._entries[at : at + limit]
@@ -72,28 +77,31 @@
         return tuple(found)
 
     def upto(self, low: int, high: int) -> tuple[m.Entry, ...]:
-        """The records from after `low` up to and with `high`."""
+        """Return the records after `low` up to and including `high`."""
         base = self.snapshot.index
         return tuple(self._entries[low - base : high - base])
 
     def append(self, entries: Sequence[m.Entry]) -> None:
-        """Put records at the end."""
+        """Append records."""
         self._entries.extend(entries)
 
-    def cut(self, index: int) -> None:
+    def truncate_from(self, index: int) -> None:
         """Drop the record at `index` and all after it."""
         del self._entries[index - self.snapshot.index - 1 :]
 
     def compact(self, snapshot: m.Snapshot) -> None:
-        """Put a snapshot in place of the records that it covers."""
+        """Replace the records that a snapshot covers by it."""
         keep: list[m.Entry] = []
         if self.term_at(snapshot.index) == snapshot.term:
-            keep = list(self.after(snapshot.index, len(self._entries)))
+            keep = list(self.entries_after(snapshot.index, len(self._entries)))
         self.snapshot = snapshot
         self._entries = keep
 
     def compact_at(self, index: m.Index, data: bytes) -> m.Snapshot:
-        """Put a snapshot of the state at a record it holds in place."""
+        """Compact the log to a snapshot `data` of the state at `index`.
+
+        The log must hold the record at `index`.
+        """
         term = self.term_at(index)
         assert term is not None
         snapshot = m.Snapshot(
@@ -103,14 +111,14 @@
         return snapshot
 
     def config(self) -> tuple[m.Config, m.Index]:
-        """The latest config in the log, committed or not, and its index."""
+        """Return the latest config, committed or not, and its index."""
         for entry in reversed(self._entries):
             if entry.config is not None:
                 return entry.config, entry.index
         return self.snapshot.config, self.snapshot.index
 
     def config_at(self, index: int) -> m.Config:
-        """The config in force at a record."""
+        """Return the config in force at a record."""
         for entry in reversed(self.upto(self.snapshot.index, index)):
             if entry.config is not None:
                 return entry.config
--- a/rackpost/consensus/membership.py
+++ b/rackpost/consensus/membership.py
@@ -1,8 +1,8 @@
-"""Which replicas vote: the leader's next change of the config.  Pure.
+"""The leader's decision which replicas vote.  Pure.
 
-A replica's id lasts as long as its disk.  One that lost its disk comes
-back on the same host under a new id, as a learner; that shows that the
-old id is gone for good.  One change is made at a time.
+A replica's id lasts as long as its disk.  A replica that lost its disk
+rejoins from the same host under a new id, as a learner, which proves that
+the old id will not return.  The config changes by one replica at a time.
 """
 
 from typing import Collection
@@ -11,25 +11,24 @@
 
 from rackpost.consensus import messages as m
 
-# A voter silent for this long gives way to a learner that has caught up.
-# Longer than an election, shorter than the time that a site gives a new
-# VM to take part (4 s), in seconds.
+# A voter silent for this long may be replaced by a caught-up learner.  Longer
+# than an election, shorter than the 4 s in which a new VM has to take part.
 REPLACE_AFTER_S = 1.5
-# A learner silent for this long is dropped, in seconds.
+# A learner silent for this long is removed.
 DROP_AFTER_S = 30.0
-# Voters of a site that need not survive a lost disk: one may still be down.
-_FEWEST_VOTERS = 3
+# One of three voters may be down.
+_MIN_VOTERS = 3
 
 
 class ClusterView(msgspec.Struct, frozen=True, kw_only=True):
-    """What the leader knows.
+    """What the leader knows of the replicas.
 
     Attributes:
-        silence_s: seconds since each replica was last heard.
-        caught_up: replicas that have all that is committed.
-        joining: ids, not in the config, that have asked to join lately.
+        silence_s: seconds since the last reply of each replica.
+        caught_up: replicas that hold all committed records.
+        joining: ids outside the config that recently requested to join.
         target: how many voters there should be.
-        copies: how many voters must have a record before it is committed.
+        copies: voters that must store a record before it is committed.
     """
 
     me: m.ReplicaId
@@ -42,25 +41,24 @@
 
 
 def host_of(replica: m.ReplicaId) -> str:
-    """The host that a replica runs on; its id begins with it."""
+    """Return the host that a replica runs on, the first part of its id."""
     return replica.split("#", 1)[0]
 
 
-def target_voters(copies: int) -> int:
-    """How many voters there should be.
+def target_voters(min_copies: int) -> int:
+    """Return how many voters there should be.
 
-    Of 2 x `copies` - 1 voters, `copies` are a quorum, so that it still
-    stands when one fewer are down.
+    Of 2 * `min_copies` - 1 voters, `min_copies` are a quorum.
     """
-    return 2 * copies - 1 if copies > 1 else _FEWEST_VOTERS
+    return 2 * min_copies - 1 if min_copies > 1 else _MIN_VOTERS
 
 
 def rejection_reason(
     old: m.Config, new: m.Config, caught_up: Collection[m.ReplicaId]
 ) -> str | None:
-    """Why a config may not follow another; None if it may.
+    """Return why a config may not follow another, or None if it may.
 
-    `caught_up` are replicas that hold all that is committed.
+    `caught_up` are the replicas that hold all committed records.
     """
     if len(set(old.voters) ^ set(new.voters)) > 1:
         return "only one voter may come or go at a time"
@@ -73,14 +71,14 @@
 
 
 def next_config(view: ClusterView) -> m.Config | None:
-    """The next config, or None if the present one is as it should be."""
-    return _promote(view) or _remove_voter(view) or _learners(view)
+    """Return the next config, or None if no change is needed."""
+    return _promote(view) or _remove_voter(view) or _change_learners(view)
 
 
 def _ready_learner(view: ClusterView) -> m.ReplicaId | None:
     for learner in view.config.learners:
-        heard = view.silence_s.get(learner, 0.0) < REPLACE_AFTER_S
-        if heard and learner in view.caught_up:
+        is_alive = view.silence_s.get(learner, 0.0) < REPLACE_AFTER_S
+        if is_alive and learner in view.caught_up:
             return learner
     return None
 
@@ -96,7 +94,7 @@
 
 
 def _remove_voter(view: ClusterView) -> m.Config | None:
-    gone = _gone_voter(view)
+    gone = _replaceable_voter(view)
     if gone is None:
         return None
     rest = _without(view.config.voters, gone)
@@ -111,21 +109,21 @@
     return config
 
 
-def _gone_voter(view: ClusterView) -> m.ReplicaId | None:
-    newcomers = view.config.learners + view.joining
-    spare = _ready_learner(view) is not None
+def _replaceable_voter(view: ClusterView) -> m.ReplicaId | None:
+    candidates = view.config.learners + view.joining
+    has_spare = _ready_learner(view) is not None
     for voter in view.config.voters:
         if voter == view.me:
             continue
         if view.silence_s.get(voter, 0.0) < REPLACE_AFTER_S:
             continue
-        wiped = any(host_of(item) == host_of(voter) for item in newcomers)
-        if wiped or spare:
+        lost_disk = any(host_of(item) == host_of(voter) for item in candidates)
+        if lost_disk or has_spare:
             return voter
     return None
 
 
-def _learners(view: ClusterView) -> m.Config | None:
+def _change_learners(view: ClusterView) -> m.Config | None:
     config = view.config
     for peer in view.joining:
         if peer not in config.everyone:
--- a/rackpost/consensus/messages.py
+++ b/rackpost/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Records of the replicated log, and the messages between replicas."""
+"""Records of the replicated log and messages between replicas."""
 
 from typing import NewType
 from typing import Union
@@ -11,7 +11,7 @@
 
 
 class Config(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Who votes, and who only receives the log (learners)."""
+    """The replicas that vote and those that only receive the log."""
 
     voters: tuple[ReplicaId, ...]
     learners: tuple[ReplicaId, ...] = ()
@@ -23,12 +23,12 @@
 
     @property
     def quorum(self) -> int:
-        """How many voters decide."""
+        """How many voters make a quorum."""
         return len(self.voters) // 2 + 1
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One record of the log: a command's bytes, or a new config."""
+    """One record of the log: an encoded command or a new config."""
 
     index: Index
     term: Term
@@ -37,7 +37,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The state up to and with `index`, in place of the log."""
+    """The state after the record at `index`, with all earlier records."""
 
     index: Index
     term: Term
@@ -46,7 +46,7 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What a replica must never forget besides the log."""
+    """The state besides the log that must survive a restart."""
 
     term: Term
     voted_for: ReplicaId | None = None
@@ -60,7 +60,7 @@
 
 
 class VoteRequest(_Message, frozen=True, tag="vote"):
-    """Ask for a vote; with `pre`, only whether it would be given."""
+    """A request for a vote, or with `pre` for a pre-vote."""
 
     pre: bool
     last_index: Index
@@ -68,7 +68,7 @@
 
 
 class VoteReply(_Message, frozen=True, tag="voted"):
-    """A vote, or the promise of one."""
+    """The answer to a `VoteRequest` of the same kind."""
 
     pre: bool
     granted: bool
@@ -77,7 +77,7 @@
 class Append(_Message, frozen=True, tag="append"):
     """Records that follow (`prev_index`, `prev_term`), or a heartbeat.
 
-    `number` grows with each round of the leader, and confirms reads.
+    `number` is the leader's round of heartbeats; its replies confirm reads.
     """
 
     prev_index: Index
@@ -88,7 +88,11 @@
 
 
 class AppendReply(_Message, frozen=True, tag="appended"):
-    """How far the follower's log matches; where not, a hint of it."""
+    """The answer to `Append` and `Install`.
+
+    `match` is the index up to which the logs match, or without `ok` an index
+    at which they may match.
+    """
 
     ok: bool
     match: Index
@@ -96,7 +100,7 @@
 
 
 class Install(_Message, frozen=True, tag="install"):
-    """A snapshot for a follower that is too far behind for the log."""
+    """A snapshot, for a follower that needs records no longer in the log."""
 
     snapshot: Snapshot
     number: int
--- a/rackpost/consensus/output.py
+++ b/rackpost/consensus/output.py
@@ -1,4 +1,4 @@
-"""What a replica of the log asks its owner to do."""
+"""The writes, messages and results that a replica hands to its owner."""
 
 from typing import NamedTuple
 
@@ -6,18 +6,19 @@
 
 
 class Send(NamedTuple):
-    """A message for another replica."""
+    """A message to another replica."""
 
     to: m.ReplicaId
     msg: m.AnyMessage
 
 
 class Output:
-    """What the owner of the replica must do, in this order.
+    """Work for the owner of the replica.
 
-    First `cut_from`, `append`, `hard` and `install` are written and
-    synced, then `sends` are sent, then `committed` is applied, then
-    `reads` are answered (True: confirmed).
+    The owner first writes and syncs `cut_from`, `append`, `hard` and
+    `install`, then sends `sends`, then applies `committed`, then answers
+    `reads` (token, whether the read is confirmed).  With `lost_leadership`
+    the outcome of proposed commands is unknown.
     """
 
     def __init__(self) -> None:
@@ -28,4 +29,4 @@
         self.sends: list[Send] = []
         self.committed: list[m.Entry] = []
         self.reads: list[tuple[int, bool]] = []
-        self.lost: bool = False
+        self.lost_leadership: bool = False
--- a/rackpost/consensus/reads.py
+++ b/rackpost/consensus/reads.py
@@ -1,35 +1,39 @@
-"""Reads that wait until a quorum has confirmed who leads."""
+"""Reads that wait until a quorum has confirmed the leader."""
 
 from typing import NamedTuple
 
 
-class _Pending(NamedTuple):
-    """A read; the round with `number` must have reached a quorum."""
+class _PendingRead(NamedTuple):
+    """A read that a quorum's replies to round `round_number` confirm."""
 
-    number: int
+    round_number: int
     token: int
 
 
 class PendingReads:
-    """The reads of one leader, oldest first."""
+    """The unconfirmed reads of one leader, oldest first."""
 
     def __init__(self) -> None:
-        self._pending: list[_Pending] = []
-
-    def add(self, number: int, token: int) -> None:
-        """A read waits for a round of messages, or a later one."""
-        self._pending.append(_Pending(number, token))
-
-    def confirmed(self, number: int) -> list[int]:
-        """The reads that are done once a quorum has answered a round."""
-        done = [item.token for item in self._pending if item.number <= number]
+        self._pending: list[_PendingRead] = []
+
+    def add(self, round_number: int, token: int) -> None:
+        """Add a read that round `round_number` or a later one confirms."""
+        self._pending.append(_PendingRead(round_number, token))
+
+    def take_confirmed(self, round_number: int) -> list[int]:
+        """Remove and return the reads that `round_number` confirms."""
+        confirmed = [
+            item.token
+            for item in self._pending
+            if item.round_number <= round_number
+        ]
         self._pending = [
-            item for item in self._pending if item.number > number
+            item for item in self._pending if item.round_number > round_number
         ]
-        return done
+        return confirmed
 
-    def drop(self) -> list[int]:
-        """All that wait: they will not be confirmed."""
+    def take_all(self) -> list[int]:
+        """Remove and return all reads, which will not be confirmed."""
         dropped = [item.token for item in self._pending]
         self._pending = []
         return dropped
--- a/rackpost/consensus/replication.py
+++ b/rackpost/consensus/replication.py
@@ -1,4 +1,4 @@
-"""What a leader sends one follower next.  Pure."""
+"""The next message from a leader to a follower.  Pure."""
 
 from typing import NamedTuple
 
@@ -6,77 +6,76 @@
 from rackpost.consensus import log as log_mod
 from rackpost.consensus import messages as m
 
-_MAX_BATCH = 512
-# Records of one message hold at most so many bytes, but for a single one
-# that is larger: a frame of all that a replica may have missed (8 MB) is
-# more than a link takes, and heartbeats wait behind it.
+_MAX_BATCH_ENTRIES = 512
+# Keeps a message well below a link's frame limit, and short enough not to
+# delay heartbeats.  A single larger record is still sent.
 _MAX_BATCH_BYTES = 1 << 20
 
 
-class Leading(NamedTuple):
-    """A leader at one moment; `number` is its present round."""
+class LeaderState(NamedTuple):
+    """A leader's state; `round_number` is its current round of heartbeats."""
 
     me: m.ReplicaId
     term: m.Term
     commit: m.Index
-    number: int
+    round_number: int
 
 
 def needs_snapshot(
-    known: followers.FollowerProgress, log: log_mod.Log
+    progress: followers.FollowerProgress, log: log_mod.Log
 ) -> bool:
-    """Whether the log does not reach back to where a follower is."""
-    prev = known.next_index - 1
+    """Whether the log no longer holds the records that a follower needs."""
+    prev = progress.next_index - 1
     return prev < log.snapshot.index or log.term_at(prev) is None
 
 
 def next_message(
-    known: followers.FollowerProgress,
+    progress: followers.FollowerProgress,
     log: log_mod.Log,
-    leading: Leading,
+    leader: LeaderState,
     now: float,
 ) -> m.Append | m.Install | None:
-    """Records that a follower lacks, or a snapshot; none if it waits."""
-    if not needs_snapshot(known, log):
-        return _records(known, log, leading)
-    if not known.try_start_install(now):
+    """Return the next records or snapshot, or None during its back-off."""
+    if not needs_snapshot(progress, log):
+        return _next_entries(progress, log, leader)
+    if not progress.try_start_install(now):
         return None
     return m.Install(
-        sender=leading.me,
-        term=leading.term,
+        sender=leader.me,
+        term=leader.term,
         snapshot=log.snapshot,
-        number=leading.number,
+        number=leader.round_number,
     )
 
 
-def _records(
-    known: followers.FollowerProgress, log: log_mod.Log, leading: Leading
+def _next_entries(
+    progress: followers.FollowerProgress, log: log_mod.Log, leader: LeaderState
 ) -> m.Append:
-    prev = known.next_index - 1
-    entries = log.after(prev, _MAX_BATCH, _MAX_BATCH_BYTES)
-    # Records are sent on without waiting for the reply to the last.
-    known.next_index = prev + len(entries) + 1
-    return _append(leading, prev, log.term_at(prev), entries)
+    prev = progress.next_index - 1
+    entries = log.entries_after(prev, _MAX_BATCH_ENTRIES, _MAX_BATCH_BYTES)
+    # Pipelined: the next records are sent before this reply arrives.
+    progress.next_index = prev + len(entries) + 1
+    return _append_message(leader, prev, log.term_at(prev), entries)
 
 
-def heartbeat(log: log_mod.Log, leading: Leading) -> m.Append:
-    """What tells one who waits for a snapshot that there is a leader."""
-    return _append(leading, log.snapshot.index, log.snapshot.term, ())
+def heartbeat(log: log_mod.Log, leader: LeaderState) -> m.Append:
+    """Return an empty message, for a follower that awaits a snapshot."""
+    return _append_message(leader, log.snapshot.index, log.snapshot.term, ())
 
 
-def _append(
-    leading: Leading,
+def _append_message(
+    leader: LeaderState,
     prev: int,
     prev_term: m.Term | None,
     entries: tuple[m.Entry, ...],
 ) -> m.Append:
     assert prev_term is not None
     return m.Append(
-        sender=leading.me,
-        term=leading.term,
+        sender=leader.me,
+        term=leader.term,
         prev_index=m.Index(prev),
         prev_term=prev_term,
-        commit=leading.commit,
-        number=leading.number,
+        commit=leader.commit,
+        number=leader.round_number,
         entries=entries,
     )
--- a/rackpost/consensus/storage.py
+++ b/rackpost/consensus/storage.py
@@ -1,11 +1,10 @@
 """The log and snapshots of a replica on its disk.
 
 A data folder holds `identity`, `snapshot`, `log` and, as a hint for the
-next start, `committed`.  The log is a row of
-frames; each frame is what was synced at once: a header of magic, length,
-checksum of the payload and checksum of the header, then the payload.  A
-frame is only written when the one before it was synced, so a bad frame
-with a good one behind it is damage and not a torn write.
+next start, `committed`.  The log is a sequence of frames, each synced before
+the next is written: a header of magic, length, checksum of the payload and
+checksum of the header, then the payload.  A bad frame before a good one is
+therefore damage, not a torn write.
 """
 
 import abc
@@ -25,21 +24,21 @@
 
 _MAGIC = b"RPL1"
 _HEADER = struct.Struct("<4sII")
-_CHECK = struct.Struct("<I")
-_HEADER_SIZE = _HEADER.size + _CHECK.size
+_HEADER_CHECK = struct.Struct("<I")
+_HEADER_SIZE = _HEADER.size + _HEADER_CHECK.size
 
 
 class Identity(msgspec.Struct, frozen=True, kw_only=True):
-    """Whose disk this is; a lost disk loses it, and with it the id."""
+    """The replica that owns a disk; its id is lost with the disk."""
 
     replica: m.ReplicaId
     config: m.Config
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What one sync made durable.
+    """The changes that one frame makes durable.
 
-    The entries take the place of any with the same or a higher index.
+    The entries replace all with the same or a higher index.
     """
 
     hard: m.HardState | None = None
@@ -48,16 +47,17 @@
 
 
 class CommitMark(msgspec.Struct, frozen=True, kw_only=True):
-    """A record that is known to be committed, and so all before it."""
+    """The last record known to be committed."""
 
     index: m.Index
     term: m.Term
 
 
 class StoredState(msgspec.Struct, kw_only=True):
-    """What a replica restarts from.
+    """The state that a replica restarts from.
 
-    Records up to `committed` were committed when the replica ended.
+    Records up to `committed` are known to be committed; `torn_bytes` were cut
+    off the end of the log.
     """
 
     identity: Identity
@@ -68,7 +68,7 @@
 
 
 class Disk(abc.ABC):
-    """Where a replica keeps what it must not forget."""
+    """The durable storage of a replica."""
 
     @abc.abstractmethod
     async def save(self, out: output.Output) -> None:
@@ -78,11 +78,11 @@
     async def compact(
         self, snapshot: m.Snapshot, hard: m.HardState, log: log_mod.Log
     ) -> None:
-        """Put a snapshot, and the records after it, in place of all."""
+        """Replace the whole log by a snapshot and the records after it."""
 
 
 def batch_of(out: output.Output) -> Batch | None:
-    """What of an output goes into the log; None if nothing does."""
+    """Return the part of an output for the log, or None if it is empty."""
     if out.hard is None and not out.append and out.cut_from is None:
         return None
     return Batch(
@@ -91,15 +91,15 @@
 
 
 def replay(log: log_mod.Log, batch: Batch) -> None:
-    """Bring a log in memory to where it was after a batch."""
+    """Apply a batch to a log in memory."""
     if batch.cut_from is not None:
         if log.snapshot.index < batch.cut_from <= log.last_index:
-            log.cut(batch.cut_from)
+            log.truncate_from(batch.cut_from)
     for entry in batch.entries:
         if entry.index <= log.snapshot.index:
             continue
         if entry.index <= log.last_index:
-            log.cut(entry.index)
+            log.truncate_from(entry.index)
         if entry.index != log.last_index + 1:
             raise exceptions.StorageError(
                 f"record {entry.index} follows {log.last_index}"
@@ -108,19 +108,19 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """A payload with its header."""
+    """Return a payload with its header."""
     head = _HEADER.pack(_MAGIC, len(payload), zlib.crc32(payload))
-    return head + _CHECK.pack(zlib.crc32(head)) + payload
+    return head + _HEADER_CHECK.pack(zlib.crc32(head)) + payload
 
 
 def _frame_at(data: bytes, at: int) -> bytes | None:
-    """The payload of a good frame that begins at `at`, else None."""
+    """Return the payload of the frame at `at`, or None if it is bad."""
     head = data[at : at + _HEADER.size]
     check = data[at + _HEADER.size : at + _HEADER_SIZE]
-    if len(check) < _CHECK.size:
+    if len(check) < _HEADER_CHECK.size:
         return None
     magic, size, crc = _HEADER.unpack(head)
-    if magic != _MAGIC or _CHECK.unpack(check)[0] != zlib.crc32(head):
+    if magic != _MAGIC or _HEADER_CHECK.unpack(check)[0] != zlib.crc32(head):
         return None
     payload = data[at + _HEADER_SIZE : at + _HEADER_SIZE + size]
     if len(payload) < size or zlib.crc32(payload) != crc:
@@ -129,9 +129,9 @@
 
 
 def read_frames(data: bytes) -> tuple[list[bytes], int]:
-    """All payloads, and how many good bytes there are.
+    """Return all payloads and the number of good bytes.
 
-    Raises StorageError where a bad frame has a good one behind it.
+    Raises StorageError if a good frame follows a bad one.
     """
     found = []
     at = 0
@@ -146,7 +146,7 @@
         if _frame_at(data, later) is not None:
             raise exceptions.StorageError(
                 f"the log is damaged at byte {at}, with good records "
-                f"behind it from byte {later}: replace this replica"
+                f"from byte {later} on: replace this replica"
             )
         later = data.find(_MAGIC, later + 1)
     return found, at
@@ -161,30 +161,30 @@
 
 
 def write_atomically(path: pathlib.Path, data: bytes) -> None:
-    """Put a file in place, whole and synced, or leave the old one."""
-    part = path.with_suffix(".part")
+    """Replace a file by a synced one, or keep the old one on an error."""
+    temporary = path.with_suffix(".part")
     try:
-        with open(part, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
     except OSError:
-        # On a full disk the half would keep its place.
-        part.unlink(missing_ok=True)
+        # Frees the space of the partial file on a full disk.
+        temporary.unlink(missing_ok=True)
         raise
-    os.replace(part, path)
+    os.replace(temporary, path)
     _sync_dir(path.parent)
 
 
 def write_one(path: pathlib.Path, msg: msgspec.Struct) -> None:
-    """Put a file that holds one message in place; OSError if that fails."""
+    """Replace a file by one that holds one message; raises OSError."""
     write_atomically(path, frame(codec.encode(msg)))
 
 
 def read_one(path: pathlib.Path, kind: type) -> msgspec.Struct:
-    """The one message that a file holds.
+    """Return the one message that a file holds.
 
-    Raises OSError, or StorageError or CodecError where it is damaged.
+    Raises OSError, or StorageError or CodecError if the file is damaged.
     """
     frames, good = read_frames(path.read_bytes())
     if len(frames) != 1 or good != path.stat().st_size:
@@ -195,10 +195,10 @@
 def create(
     folder: pathlib.Path, *, replica: m.ReplicaId, config: m.Config
 ) -> None:
-    """Make a new replica's data folder; StorageError if there is one.
+    """Create the data folder of a new replica.
 
-    `config` holds the first voters of a new site, or is empty for a
-    replica that will be added to a site.
+    `config` holds the first voters of a new site, and is empty for a replica
+    that joins a site.  Raises StorageError if the folder holds a replica.
     """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "identity"
@@ -213,29 +213,30 @@
 
     def __init__(self, *, folder: pathlib.Path) -> None:
         self._folder = folder
-        self._log = folder / "log"
-        self._handle = -1
-        # Bytes of the log that are good, and whether others may follow.
-        self._size = 0
-        self._dirty = False
+        self._log_path = folder / "log"
+        self._log_fd = -1
+        # Length of the good part of the log, and whether a torn frame may
+        # follow it.
+        self._good_bytes = 0
+        self._has_torn_frame = False
 
     def load(self) -> StoredState:
-        """Read all, cut a torn end, and open the log for writing.
+        """Read all files, cut off a torn frame and open the log for writing.
 
-        Raises StorageError where there is no replica or it is damaged.
+        Raises StorageError if there is no replica or it is damaged.
         """
         identity = self._load_identity()
         snapshot = self._load_snapshot(identity)
         log = log_mod.Log(snapshot)
         hard = m.HardState(term=snapshot.term)
-        data = self._log.read_bytes() if self._log.exists() else b""
+        data = self._log_path.read_bytes() if self._log_path.exists() else b""
         frames, good = read_frames(data)
         decoder = codec.Decoder(kinds=Batch)
         for payload in frames:
             batch: Batch = decoder.decode(payload)
             hard = batch.hard or hard
             replay(log, batch)
-        self._open(good)
+        self._open_log(good)
         return StoredState(
             identity=identity,
             hard=hard,
@@ -245,10 +246,10 @@
         )
 
     def _load_committed(self, log: log_mod.Log) -> m.Index:
-        """Up to where the log is known to be committed.
+        """Return the index up to which the log is known to be committed.
 
-        A mark that is damaged, or whose record the log does not hold,
-        tells nothing: a quorum says it again.
+        A damaged mark, or one whose record the log does not hold, is
+        ignored: the commit index is learned from a quorum again.
         """
         path = self._folder / "committed"
         try:
@@ -261,7 +262,7 @@
         return mark.index
 
     async def record_committed(self, mark: CommitMark) -> None:
-        """Keep a mark for the next start; StorageError if that fails."""
+        """Write a mark for the next start; raises StorageError."""
         path = self._folder / "committed"
         try:
             await asyncio.to_thread(write_one, path, mark)
@@ -290,62 +291,62 @@
         assert isinstance(found, m.Snapshot)
         return found
 
-    def _open(self, good: int) -> None:
+    def _open_log(self, good: int) -> None:
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-        self._handle = os.open(self._log, flags, 0o600)
-        os.ftruncate(self._handle, good)
-        os.fsync(self._handle)
-        self._size = good
+        self._log_fd = os.open(self._log_path, flags, 0o600)
+        os.ftruncate(self._log_fd, good)
+        os.fsync(self._log_fd)
+        self._good_bytes = good
         _sync_dir(self._folder)
 
     async def save(self, out: output.Output) -> None:
         """Write and sync an output, off the event loop."""
         batch = batch_of(out)
         if batch is not None:
-            await asyncio.to_thread(self._append, codec.encode(batch))
+            await asyncio.to_thread(self._append_frame, codec.encode(batch))
 
-    def _append(self, payload: bytes) -> None:
+    def _append_frame(self, payload: bytes) -> None:
         data = frame(payload)
         try:
-            if self._dirty:
-                # A part of a frame, with good ones behind, is damage.
-                os.ftruncate(self._handle, self._size)
-            self._dirty = True
+            if self._has_torn_frame:
+                # A torn frame before a good one would count as damage.
+                os.ftruncate(self._log_fd, self._good_bytes)
+            self._has_torn_frame = True
             view = memoryview(data)
             while view:
-                view = view[os.write(self._handle, view) :]
-            os.fdatasync(self._handle)
+                view = view[os.write(self._log_fd, view) :]
+            os.fdatasync(self._log_fd)
         except OSError as exc:
-            # What reached the disk is not known; it is cut off before the
+            # The frame may be on the disk in part; it is cut off before the
             # next frame is written, or at a restart.
             raise exceptions.StorageError(f"log: {exc}") from exc
-        self._dirty = False
-        self._size += len(data)
+        self._has_torn_frame = False
+        self._good_bytes += len(data)
 
     async def compact(
         self, snapshot: m.Snapshot, hard: m.HardState, log: log_mod.Log
     ) -> None:
-        """Write the snapshot, then a log of what follows it."""
+        """Write the snapshot, then a log of the records after it."""
         rest = Batch(hard=hard, entries=log.upto(snapshot.index, 1 << 60))
-        await asyncio.to_thread(self._replace, snapshot, rest)
+        await asyncio.to_thread(self._replace_files, snapshot, rest)
 
-    def _replace(self, snapshot: m.Snapshot, rest: Batch) -> None:
-        # A crash between the two leaves old records, which are skipped
-        # as they lie below the snapshot.
+    def _replace_files(self, snapshot: m.Snapshot, rest: Batch) -> None:
+        # A crash between the two writes leaves records that the snapshot
+        # covers; `replay` skips them.
         whole = frame(codec.encode(snapshot))
         write_atomically(self._folder / "snapshot", whole)
         data = frame(codec.encode(rest))
-        write_atomically(self._log, data)
-        # The old log stays open until the new one is, so that this can be
-        # done again where the disk fails.
-        old = self._handle
-        self._handle = os.open(self._log, os.O_RDWR | os.O_APPEND)
+        write_atomically(self._log_path, data)
+        # The old log stays open until the new one is, so that a failure can
+        # be retried.
+        old = self._log_fd
+        self._log_fd = os.open(self._log_path, os.O_RDWR | os.O_APPEND)
         os.close(old)
-        self._size = len(data)
-        self._dirty = False
+        self._good_bytes = len(data)
+        self._has_torn_frame = False
 
     def close(self) -> None:
-        """Let go of the log."""
-        if self._handle >= 0:
-            os.close(self._handle)
-            self._handle = -1
+        """Close the log."""
+        if self._log_fd >= 0:
+            os.close(self._log_fd)
+            self._log_fd = -1
--- a/rackpost/control/client.py
+++ b/rackpost/control/client.py
@@ -19,9 +19,9 @@
 STATUS_S = 2.0
 # A replica that says nothing for this long is left for another.
 _SILENT_S = 3.0
-_ANSWER_S = 1.0
+_ANSWER_TIMEOUT_S = 1.0
 _FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 1.0
+_MAX_PAUSE_S = 1.0
 
 Connect = Callable[[str], AsyncContextManager[channel.Channel]]
 Changed = Callable[[], None]
@@ -63,11 +63,11 @@
             if change.event is not None:
                 self.tree.events[change.event_name] = change.event
         if change.member_name is not None:
-            self._take_member(change.member_name, change)
+            self._apply_member(change.member_name, change)
         self.revision = change.revision
         return True
 
-    def _take_member(self, name: str, change: machine.Change) -> None:
+    def _apply_member(self, name: str, change: machine.Change) -> None:
         if change.member is None:
             self.members.pop(name, None)
             self.fences.pop(name, None)
@@ -108,11 +108,11 @@
         self._loop = asyncio.get_running_loop()
         self._conn: channel.Channel | None = None
         self._ended = asyncio.Event()
-        self._heard_at = 0.0
+        self._last_message_at = 0.0
         # A `Watch` was sent over this link that has had no answer.
-        self._watching = False
+        self._watch_pending = False
         self._number = 0
-        self._asked: dict[int, asyncio.Future[commands.Result | None]] = {}
+        self._requested: dict[int, asyncio.Future[commands.Result | None]] = {}
         rng.shuffle(self._addresses)
 
     async def run(self) -> None:
@@ -123,12 +123,12 @@
             self._addresses.append(self._addresses.pop(0))
             with contextlib.suppress(exceptions.LinkError):
                 async with self._connect(address) as conn:
-                    began = self._heard_at
+                    began = self._last_message_at
                     await self._serve(conn)
-                    if self._heard_at > began:
+                    if self._last_message_at > began:
                         pause = _FIRST_PAUSE_S
             await asyncio.sleep(pause * (0.5 + self._rng.random()))
-            pause = min(_LONGEST_PAUSE_S, pause * 2)
+            pause = min(_MAX_PAUSE_S, pause * 2)
 
     async def _serve(self, conn: channel.Channel) -> None:
         self._ended.clear()
@@ -143,12 +143,12 @@
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(STATUS_S):
                         await self._ended.wait()
-                last = max(since, self._heard_at)
+                last = max(since, self._last_message_at)
                 if self._loop.time() - last > _SILENT_S:
                     return
         finally:
             joining.cancel()
-            self._drop_conn()
+            self._forget_link()
             conn.close()
 
     def _send_status(self, conn: channel.Channel) -> None:
@@ -169,30 +169,30 @@
             await asyncio.sleep(STATUS_S)
 
     def _on_closed(self) -> None:
-        self._drop_conn()
+        self._forget_link()
         self._ended.set()
 
-    def _drop_conn(self) -> None:
+    def _forget_link(self) -> None:
         self._conn = None
-        self._watching = False
-        asked = self._asked
-        self._asked = {}
+        self._watch_pending = False
+        asked = self._requested
+        self._requested = {}
         for fut in asked.values():
             if not fut.done():
                 fut.set_result(None)
 
     def _on_message(self, msg: msgspec.Struct) -> None:
-        self._heard_at = self._loop.time()
+        self._last_message_at = self._loop.time()
         if isinstance(msg, messages.Answer):
-            fut = self._asked.pop(msg.number, None)
+            fut = self._requested.pop(msg.number, None)
             if fut is not None and not fut.done():
                 fut.set_result(msg.result)
         elif isinstance(msg, messages.Whole):
-            self._watching = False
+            self._watch_pending = False
             if self.in_force.take_whole(msg.image):
-                self._is_in_force()
+                self._notify_changed()
         elif isinstance(msg, messages.Feed):
-            self._watching = False
+            self._watch_pending = False
             self._on_feed(msg)
         elif isinstance(msg, messages.Alive):
             self._on_alive(msg)
@@ -204,7 +204,7 @@
                 return
             if change.order is not None:
                 self._ordered(change)
-        self._is_in_force()
+        self._notify_changed()
 
     def _on_alive(self, msg: messages.Alive) -> None:
         if msg.revision > self.in_force.revision:
@@ -223,14 +223,14 @@
         Peers tell of newer states many times a second; an answer that
         takes long must not be joined by copies of it.
         """
-        if self._conn is None or self._watching:
+        if self._conn is None or self._watch_pending:
             return
-        self._watching = True
+        self._watch_pending = True
         self._conn.send(
             messages.Watch(name=self._name, revision=self.in_force.revision)
         )
 
-    def _is_in_force(self) -> None:
+    def _notify_changed(self) -> None:
         self.ready.set()
         self._changed()
 
@@ -242,15 +242,15 @@
         number = self._number
         fut: asyncio.Future[commands.Result | None]
         fut = self._loop.create_future()
-        self._asked[number] = fut
+        self._requested[number] = fut
         self._conn.send(messages.CommandRequest(number=number, command=cmd))
         try:
-            async with asyncio.timeout(_ANSWER_S):
+            async with asyncio.timeout(_ANSWER_TIMEOUT_S):
                 result = await fut
         except TimeoutError:
             result = None
         finally:
-            self._asked.pop(number, None)
+            self._requested.pop(number, None)
         if result is None:
             raise exceptions.ControlError("control gave no answer in time")
         return result
--- a/rackpost/control/messages.py
+++ b/rackpost/control/messages.py
@@ -75,7 +75,7 @@
     result: commands.Result | None
 
 
-class ReadAsk(_Message, frozen=True, tag="read"):
+class ReadRequest(_Message, frozen=True, tag="read"):
     """A follower asks the leader for a confirmed index."""
 
     number: int
@@ -106,7 +106,7 @@
     ReplicaHello,
     Forward,
     Forwarded,
-    ReadAsk,
+    ReadRequest,
     ReadIndex,
     StatusReport,
     consensus.VoteRequest,
--- a/rackpost/control/node.py
+++ b/rackpost/control/node.py
@@ -30,8 +30,8 @@
 # snapshot and its copy that stays far below the smallest disk (128 MB).
 COMPACT_BYTES = 8 << 20
 # How long a command or a confirmed read may take before it is given up.
-_PATIENCE_S = 3.0
-_HEARD_EVERY_S = 1.0
+_TIMEOUT_S = 3.0
+_REPORT_INTERVAL_S = 1.0
 
 _COMMANDS = codec.Decoder(kinds=commands.AnyCommand)
 _IMAGES = codec.Decoder(kinds=machine.Image)
@@ -69,8 +69,8 @@
         self.seen: dict[str, tuple[messages.Status, float]] = {}
         self._disk = disk
         self._compact_at = compact_at
-        self._fresh: dict[str, messages.Status] = {}
-        self._heard_sent = 0.0
+        self._unreported: dict[str, messages.Status] = {}
+        self._report_sent_at = 0.0
         snapshot = loaded.log.snapshot
         if snapshot.data:
             self.machine.restore(_IMAGES.decode(snapshot.data))
@@ -91,8 +91,8 @@
         # What is known to be committed is applied at once.
         self._wake.set()
         self._number = 0
-        self._asked: dict[int, asyncio.Future[commands.Result | None]] = {}
-        self._at_index: dict[int, asyncio.Future[commands.Result | None]] = {}
+        self._forwarded: dict[int, asyncio.Future[commands.Result | None]] = {}
+        self._proposed: dict[int, asyncio.Future[commands.Result | None]] = {}
         self._reads: dict[int, asyncio.Future[consensus.Index | None]] = {}
         self._applied_waiters: list[tuple[int, asyncio.Future[None]]] = []
         self._watchers: set[Watcher] = set()
@@ -174,12 +174,12 @@
         del self._peers[peer]
         if peer == self.leader:
             self._raft.lost_link(peer, self._loop.time())
-            self._forget_forwarded()
+            self._abandon_forwarded()
 
-    def _forget_forwarded(self) -> None:
+    def _abandon_forwarded(self) -> None:
         # Whether the leader took them is not known: they may be resent.
-        asked, reads = self._asked, self._reads
-        self._asked, self._reads = {}, {}
+        asked, reads = self._forwarded, self._reads
+        self._forwarded, self._reads = {}, {}
         for fut in asked.values():
             _settle(fut, None)
         for read in reads.values():
@@ -191,9 +191,9 @@
         if isinstance(msg, messages.Forward):
             self._on_forward(peer, msg)
         elif isinstance(msg, messages.Forwarded):
-            _settle(self._asked.pop(msg.number, None), msg.result)
-        elif isinstance(msg, messages.ReadAsk):
-            self._on_read_ask(peer, msg)
+            _settle(self._forwarded.pop(msg.number, None), msg.result)
+        elif isinstance(msg, messages.ReadRequest):
+            self._on_read_request(peer, msg)
         elif isinstance(msg, messages.ReadIndex):
             _settle(self._reads.pop(msg.number, None), msg.index)
         elif isinstance(msg, messages.StatusReport):
@@ -235,16 +235,16 @@
             self._propose(data, fut)
         elif self.leader is not None:
             number = self._next_number()
-            self._asked[number] = fut
+            self._forwarded[number] = fut
             self._send(
                 self.leader, messages.Forward(number=number, command=data)
             )
         else:
             return None
-        return await _patiently(fut)
+        return await _wait_for_result(fut)
 
     async def _wait_for_leader(self) -> None:
-        until = self._loop.time() + _PATIENCE_S
+        until = self._loop.time() + _TIMEOUT_S
         while self.leader is None and self._loop.time() < until:
             await asyncio.sleep(_TICK_S)
 
@@ -255,7 +255,7 @@
         if index is None:
             _settle(fut, None)
             return
-        self._at_index[index] = fut
+        self._proposed[index] = fut
         self._wake.set()
 
     def _on_forward(
@@ -282,7 +282,7 @@
 
         False if no quorum confirms it in time.
         """
-        until = self._loop.time() + _PATIENCE_S
+        until = self._loop.time() + _TIMEOUT_S
         while self._loop.time() < until:
             index = await self._read_index()
             if index is not None:
@@ -297,17 +297,17 @@
         number = self._next_number()
         self._reads[number] = fut
         if self.is_leader:
-            self._read_here(number, fut)
+            self._read_as_leader(number, fut)
         elif self.leader is not None:
-            self._send(self.leader, messages.ReadAsk(number=number))
+            self._send(self.leader, messages.ReadRequest(number=number))
         else:
             del self._reads[number]
             return None
-        index = await _patiently(fut)
+        index = await _wait_for_result(fut)
         self._reads.pop(number, None)
         return index
 
-    def _read_here(
+    def _read_as_leader(
         self,
         number: int,
         fut: asyncio.Future[consensus.Index | None],
@@ -317,8 +317,8 @@
             _settle(self._reads.pop(number, None), None)
         self._wake.set()
 
-    def _on_read_ask(
-        self, peer: consensus.ReplicaId, msg: messages.ReadAsk
+    def _on_read_request(
+        self, peer: consensus.ReplicaId, msg: messages.ReadRequest
     ) -> None:
         fut: asyncio.Future[consensus.Index | None]
         fut = self._loop.create_future()
@@ -330,7 +330,7 @@
             )
 
         fut.add_done_callback(reply)
-        self._read_here(self._next_number(), fut)
+        self._read_as_leader(self._next_number(), fut)
 
     async def _wait_applied(self, index: int) -> bool:
         if self._applied >= index:
@@ -338,7 +338,7 @@
         fut: asyncio.Future[None] = self._loop.create_future()
         self._applied_waiters.append((index, fut))
         try:
-            async with asyncio.timeout(_PATIENCE_S):
+            async with asyncio.timeout(_TIMEOUT_S):
                 await fut
         except TimeoutError:
             return False
@@ -365,7 +365,7 @@
     def record_status(self, status: messages.Status) -> None:
         """A process has told this replica that it lives."""
         self.seen[status.name] = (status, self._loop.time())
-        self._fresh[status.name] = status
+        self._unreported[status.name] = status
 
     # The task.
 
@@ -381,17 +381,17 @@
                     await self._wake.wait()
             self._wake.clear()
             self._raft.tick(self._loop.time())
-            await self._carry_out(self._raft.take_output())
-            self._tell_heard()
+            await self._execute(self._raft.take_output())
+            self._report_statuses()
 
-    async def _carry_out(self, out: output.Output) -> None:
+    async def _execute(self, out: output.Output) -> None:
         if out.install is not None:
             await self._install(out)
         await self._disk.save(out)
         for send in out.sends:
             self._send(send.to, send.msg)
-        if out.lost:
-            self._forget_asked()
+        if out.lost_leadership:
+            self._abandon_proposed()
         self._apply(out.committed)
         for token, good in out.reads:
             index = self._raft.commit if good else None
@@ -426,8 +426,8 @@
             result: commands.Result | None = None
             self._log_bytes += len(entry.data)
             if entry.data:
-                result = self._apply_one(entry)
-            _settle(self._at_index.pop(entry.index, None), result)
+                result = self._apply_entry(entry)
+            _settle(self._proposed.pop(entry.index, None), result)
         if self.machine.revision != before:
             changes = self.machine.changes_after(before)
             for watcher in list(self._watchers):
@@ -442,7 +442,7 @@
             item for item in self._applied_waiters if item[0] > applied
         ]
 
-    def _apply_one(self, entry: consensus.Entry) -> commands.Result:
+    def _apply_entry(self, entry: consensus.Entry) -> commands.Result:
         """Apply a record; one that can't be applied is rejected by all alike.
 
         The same software finds the same fault in it, now and after each
@@ -462,27 +462,30 @@
             )
             return commands.Rejected(why="it can't be applied")
 
-    def _forget_asked(self) -> None:
+    def _abandon_proposed(self) -> None:
         # Another leader may or may not commit them: nobody here knows.
-        asked = self._at_index
-        self._at_index = {}
+        asked = self._proposed
+        self._proposed = {}
         for fut in asked.values():
             _settle(fut, None)
 
-    def _tell_heard(self) -> None:
+    def _report_statuses(self) -> None:
         now = self._loop.time()
-        if now - self._heard_sent < _HEARD_EVERY_S or not self._fresh:
+        if (
+            now - self._report_sent_at < _REPORT_INTERVAL_S
+            or not self._unreported
+        ):
             return
         if self.leader is not None and not self.is_leader:
-            seen = tuple(self._fresh.values())
+            seen = tuple(self._unreported.values())
             self._send(self.leader, messages.StatusReport(seen=seen))
-        self._heard_sent = now
-        self._fresh = {}
+        self._report_sent_at = now
+        self._unreported = {}
 
 
-async def _patiently(fut: asyncio.Future[T | None]) -> T | None:
+async def _wait_for_result(fut: asyncio.Future[T | None]) -> T | None:
     try:
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             return await fut
     except TimeoutError:
         return None
--- a/rackpost/control/platform.py
+++ b/rackpost/control/platform.py
@@ -83,11 +83,11 @@
             if not self._node.is_leader:
                 continue
             try:
-                await self._follow(await self._platform.read())
+                await self._order_leaving(await self._platform.read())
             except exceptions.ControlError as exc:
                 logs.say(logs.Part.CONTROL, "No list.", why=str(exc))
 
-    async def _follow(self, listed: list[Vm]) -> None:
+    async def _order_leaving(self, listed: list[Vm]) -> None:
         leaving = {vm.name for vm in listed if vm.state is VmState.LEAVING}
         for member in list(self._node.machine.members.values()):
             if member.vm not in leaving or not member.service:
--- a/rackpost/control/process.py
+++ b/rackpost/control/process.py
@@ -24,7 +24,7 @@
 from rackpost import metrics as metrics_mod
 from rackpost import types
 
-_PAUSE_S = 0.2
+_RELINK_PAUSE_S = 0.2
 _FromAny = Union[messages.FromClient, messages.FromReplica]
 
 
@@ -81,12 +81,12 @@
         def receive(msg: msgspec.Struct) -> None:
             if not first.done():
                 first.set_result(msg)
-                self._introduce(conn, msg)
+                self._on_first_message(conn, msg)
 
         conn.attach(receive=receive, closed=lambda: None)
         await conn.run()
 
-    def _introduce(
+    def _on_first_message(
         self, conn: websocket.WebSocketChannel, msg: msgspec.Struct
     ) -> None:
         if isinstance(msg, messages.ReplicaHello):
@@ -95,7 +95,7 @@
         self.service.connect(conn)
         conn._deliver(msg)
 
-    def _refused(self, why: str) -> None:
+    def _on_refused(self, why: str) -> None:
         self.metrics.count("refused_peer", types.Refusal.NOT_OF_THE_SITE)
         logs.say(logs.Part.CONTROL, "Refused a peer.", why=why)
 
@@ -111,7 +111,7 @@
                     conn.send(messages.ReplicaHello(replica=self.node.me))
                     self.node.connect(consensus.ReplicaId(peer), conn)
                     await conn.ended()
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RELINK_PAUSE_S)
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[Ports]:
@@ -136,7 +136,7 @@
                     security=self._security,
                     kinds=_FromAny,
                     accept=self._accept,
-                    refused=self._refused,
+                    refused=self._on_refused,
                 )
             )
             asked = await stack.enter_async_context(
--- a/rackpost/control/service.py
+++ b/rackpost/control/service.py
@@ -16,16 +16,16 @@
 ALIVE_S = 1.0
 # A process that no replica has heard of for this long is removed.
 MEMBER_LEASE_S = 10.0
-_MAX_ASKS = 256
+_MAX_OPEN_REQUESTS = 256
 
 
-class _Session:
+class _ClientLink:
     """The link to one process."""
 
     def __init__(self, *, conn: channel.Channel) -> None:
         self.conn = conn
         self.watching = False
-        self.asks = 0
+        self.open_requests = 0
 
 
 class Service:
@@ -40,44 +40,46 @@
         self._node = node
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
-        self._sessions: set[_Session] = set()
+        self._sessions: set[_ClientLink] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._leads_since: float | None = None
+        self._leader_since: float | None = None
 
     def connect(self, conn: channel.Channel) -> None:
         """Serve a process over a new link."""
-        session = _Session(conn=conn)
+        session = _ClientLink(conn=conn)
         self._sessions.add(session)
         conn.attach(
             receive=lambda msg: self._on_message(session, msg),
             closed=lambda: self._sessions.discard(session),
         )
 
-    def _on_message(self, session: _Session, msg: msgspec.Struct) -> None:
+    def _on_message(self, session: _ClientLink, msg: msgspec.Struct) -> None:
         if isinstance(msg, messages.Status):
             self._node.record_status(msg)
         elif isinstance(msg, messages.Watch):
             self._spawn(self._watch(session, msg))
         elif isinstance(msg, messages.CommandRequest):
-            self._on_ask(session, msg)
+            self._on_command_request(session, msg)
 
-    def _on_ask(self, session: _Session, msg: messages.CommandRequest) -> None:
-        if session.asks >= _MAX_ASKS:
+    def _on_command_request(
+        self, session: _ClientLink, msg: messages.CommandRequest
+    ) -> None:
+        if session.open_requests >= _MAX_OPEN_REQUESTS:
             session.conn.send(messages.Answer(number=msg.number, result=None))
             return
-        session.asks += 1
-        self._spawn(self._ask(session, msg))
+        session.open_requests += 1
+        self._spawn(self._commit(session, msg))
 
-    async def _ask(
-        self, session: _Session, msg: messages.CommandRequest
+    async def _commit(
+        self, session: _ClientLink, msg: messages.CommandRequest
     ) -> None:
         try:
             result = await self._node.commit(msg.command)
         finally:
-            session.asks -= 1
+            session.open_requests -= 1
         session.conn.send(messages.Answer(number=msg.number, result=result))
 
-    async def _watch(self, session: _Session, msg: messages.Watch) -> None:
+    async def _watch(self, session: _ClientLink, msg: messages.Watch) -> None:
         # A replica that is behind must not tell a process, which may have
         # heard of a newer revision before, that its state is the latest.
         if not await self._node.confirm_read():
@@ -101,9 +103,9 @@
             msg: msgspec.Struct = messages.Whole(image=self._public_image())
         else:
             msg = messages.Feed(changes=tuple(changes))
-        self._tell_watching(msg)
+        self._send_to_watchers(msg)
 
-    def _tell_watching(self, msg: msgspec.Struct) -> None:
+    def _send_to_watchers(self, msg: msgspec.Struct) -> None:
         """Tell all that watch; a link may end as it is told too much."""
         for session in list(self._sessions):
             if session.watching:
@@ -119,26 +121,26 @@
         with self._node.watched(self._feed):
             while True:
                 await asyncio.sleep(ALIVE_S)
-                self._say_alive()
+                self._send_alive()
                 await self._remove_silent()
 
-    def _say_alive(self) -> None:
+    def _send_alive(self) -> None:
         if not self._node.in_quorum_contact():
             # Cut off: whoever is fed here must find another replica.
             for session in list(self._sessions):
                 session.conn.close()
             return
         msg = messages.Alive(revision=self._node.machine.revision)
-        self._tell_watching(msg)
+        self._send_to_watchers(msg)
 
     async def _remove_silent(self) -> None:
         now = self._loop.time()
         if not self._node.is_leader:
-            self._leads_since = None
+            self._leader_since = None
             return
-        if self._leads_since is None:
-            self._leads_since = now
-        if now - self._leads_since < MEMBER_LEASE_S:
+        if self._leader_since is None:
+            self._leader_since = now
+        if now - self._leader_since < MEMBER_LEASE_S:
             # A new leader has not yet been told who was heard.
             return
         for member in list(self._node.machine.members.values()):
--- a/rackpost/state/claims.py
+++ b/rackpost/state/claims.py
@@ -37,18 +37,18 @@
         self.claims: OrderedDict[types.ClaimKey, Claim] = OrderedDict()
 
     def claim(
-        self, asked: commands.ClaimOne, *, at: float, keep_s: float
+        self, request: commands.ClaimOne, *, at: float, keep_s: float
     ) -> tuple[str, commands.ClaimOne | None]:
         """Claim a key; the state for the asker, and who holds it."""
-        found = self.claims.get(asked.key)
+        found = self.claims.get(request.key)
         if found is None:
-            self.claims[asked.key] = Claim(
-                holder=asked,
+            self.claims[request.key] = Claim(
+                holder=request,
                 state=State.RUNNING.value,
                 until=at + keep_s,
             )
             return State.GRANTED.value, None
-        if found.holder == asked and found.state == State.RUNNING.value:
+        if found.holder == request and found.state == State.RUNNING.value:
             # The same attempt asks again: its first reply was lost.
             return State.GRANTED.value, None
         return found.state, found.holder
--- a/rackpost/state/machine.py
+++ b/rackpost/state/machine.py
@@ -118,10 +118,10 @@
             return self._take_fence()
         return commands.Accepted(revision=self.revision)
 
-    def _next(self) -> types.Revision:
+    def _next_revision(self) -> types.Revision:
         return types.Revision(self.revision + 1)
 
-    def _made(self, change: Change) -> commands.Accepted:
+    def _record(self, change: Change) -> commands.Accepted:
         self.revision = change.revision
         self.history.append(change)
         del self.history[:-_MAX_HISTORY]
@@ -137,9 +137,9 @@
         values.update(cmd.values)
         for key in cmd.unset:
             values.pop(key, None)
-        node = tree_mod.Node(revision=self._next(), values=values)
+        node = tree_mod.Node(revision=self._next_revision(), values=values)
         self.tree.put(cmd.path, node)
-        return self._made(
+        return self._record(
             Change(
                 revision=node.revision,
                 op=cmd.op,
@@ -169,10 +169,10 @@
             return self._conflict(at)
         before = self.tree.events.get(name)
         self.tree.events[name] = cmd.event
-        self.event_revisions[name] = self._next()
-        return self._made(
+        self.event_revisions[name] = self._next_revision()
+        return self._record(
             Change(
-                revision=self._next(),
+                revision=self._next_revision(),
                 op=cmd.op,
                 who=cmd.who,
                 at=cmd.at,
@@ -191,9 +191,9 @@
             return self._conflict(at)
         del self.tree.events[cmd.name]
         del self.event_revisions[cmd.name]
-        return self._made(
+        return self._record(
             Change(
-                revision=self._next(),
+                revision=self._next_revision(),
                 op=cmd.op,
                 who=cmd.who,
                 at=cmd.at,
@@ -206,23 +206,25 @@
         new = cmd.member
         old = self.members.get(new.name)
         if old == new:
-            return self._joined(new)
+            return self._already_joined(new)
         if old is not None and new.incarnation < old.incarnation:
             return commands.Rejected(why="a newer incarnation has joined")
         self.members[new.name] = new
         # An agent that comes back may order nothing under an old fence.
         self.fence = types.Fence(self.fence + 1)
         self.fences[new.name] = self.fence
-        return self._made(
+        return self._record(
             Change(
-                revision=self._next(),
+                revision=self._next_revision(),
                 member_name=new.name,
                 member=new,
                 fence=self.fence,
             )
         )
 
-    def _joined(self, member: commands.MemberInfo) -> commands.Accepted:
+    def _already_joined(
+        self, member: commands.MemberInfo
+    ) -> commands.Accepted:
         return commands.Accepted(
             revision=self.revision, fence=self.fences[member.name]
         )
@@ -233,16 +235,18 @@
             return commands.Accepted(revision=self.revision)
         del self.members[cmd.name]
         self.fences.pop(cmd.name, None)
-        return self._made(Change(revision=self._next(), member_name=cmd.name))
+        return self._record(
+            Change(revision=self._next_revision(), member_name=cmd.name)
+        )
 
     def _order(self, cmd: commands.Order) -> commands.Result:
         if cmd.agent not in self.members:
             raise exceptions.SettingsError(f"no agent {cmd.agent!r}")
         self.fence = types.Fence(self.fence + 1)
         self.fences[cmd.agent] = self.fence
-        return self._made(
+        return self._record(
             Change(
-                revision=self._next(),
+                revision=self._next_revision(),
                 op=cmd.op,
                 who=cmd.who,
                 at=cmd.at,
@@ -258,8 +262,8 @@
         if self.routing is not None and cmd.version <= self.routing.version:
             return commands.Accepted(revision=self.revision)
         self.routing = Routing(version=cmd.version, source=cmd.source)
-        return self._made(
-            Change(revision=self._next(), routing_version=cmd.version)
+        return self._record(
+            Change(revision=self._next_revision(), routing_version=cmd.version)
         )
 
     def _take_fence(self) -> commands.Result:
--- a/rackpost/state/tree.py
+++ b/rackpost/state/tree.py
@@ -77,9 +77,9 @@
         """
         keys = (f"{service}/{kind}.{name}", f"{service}.{name}", name)
         if not schema.SETTINGS[name].inherited:
-            return self._own(path, name)
+            return self._own_value(path, name)
         for node in reversed(list(ancestors(path))):
-            for event in self._in_force(node, now):
+            for event in self._events_in_force(node, now):
                 for key in keys:
                     if key in event.values:
                         value = event.values[key]
@@ -92,13 +92,15 @@
                     return Source(own.values[key], node, key)
         return Source(schema.SETTINGS[name].default, None, name)
 
-    def _own(self, path: str, name: str) -> Source:
+    def _own_value(self, path: str, name: str) -> Source:
         node = self.nodes.get(path)
         if node is not None and name in node.values:
             return Source(node.values[name], path, name)
         return Source(schema.SETTINGS[name].default, None, name)
 
-    def _in_force(self, node: str, now: float) -> Iterable[commands.Event]:
+    def _events_in_force(
+        self, node: str, now: float
+    ) -> Iterable[commands.Event]:
         for event in self.events.values():
             if event.path == node:
                 if event.start <= now < event.start + event.length_s:
--- a/tests/test_large_records.py
+++ b/tests/test_large_records.py
@@ -72,7 +72,7 @@
             for at in range(1, 101)
         ]
     )
-    assert len(found.after(0, 512, 1 << 20)) == 100
+    assert len(found.entries_after(0, 512, 1 << 20)) == 100
 
 
 def compacted(records: int) -> raft.Replica:
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -154,7 +154,7 @@
     disk.close()
     log = load(tmp_path).log
     assert log.last_index == 3
-    assert log.after(2, 9)[0].data == b"new"
+    assert log.entries_after(2, 9)[0].data == b"new"
 
 
 def test_a_log_with_a_hole_is_refused() -> None:
