--- a/rackpost/state/claims.py
+++ b/rackpost/state/claims.py
@@ -1,6 +1,6 @@
-"""The table of claims: at most one run for each key.
+"""The table of claims, which allows at most one run for each key.
 
-free -> claimed -> answered | unknown, or claimed -> sealed -> free.
+A key goes free -> claimed -> answered | unknown, or claimed -> sealed -> free.
 """
 
 from collections import OrderedDict
@@ -13,7 +13,7 @@
 
 
 class State(enum.Enum):
-    """The state of a claim, or the reply to one that asks."""
+    """The state of a claim, or the reply to a request for one."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -23,7 +23,7 @@
 
 
 class Claim(msgspec.Struct, kw_only=True):
-    """A claimed key; `until` is when it may be forgotten."""
+    """A claimed key; `until` is when it may be removed."""
 
     holder: commands.ClaimOne
     state: str
@@ -31,7 +31,7 @@
 
 
 class ClaimTable:
-    """All claims that are remembered, oldest first."""
+    """All kept claims, ordered by `until`."""
 
     def __init__(self) -> None:
         self.claims: OrderedDict[types.ClaimKey, Claim] = OrderedDict()
@@ -39,7 +39,7 @@
     def claim(
         self, request: commands.ClaimOne, *, at: float, keep_s: float
     ) -> tuple[str, commands.ClaimOne | None]:
-        """Claim a key; the state for the asker, and who holds it."""
+        """Claim a key; return its state for the requester, and its holder."""
         found = self.claims.get(request.key)
         if found is None:
             self.claims[request.key] = Claim(
@@ -49,17 +49,17 @@
             )
             return State.GRANTED.value, None
         if found.holder == request and found.state == State.RUNNING.value:
-            # The same attempt asks again: its first reply was lost.
+            # The same attempt retries: its first reply was lost.
             return State.GRANTED.value, None
         return found.state, found.holder
 
     def settle(
         self, item: commands.SettleOne, *, at: float, keep_s: float
     ) -> None:
-        """An attempt ended; only the holder's word counts.
+        """Record how an attempt ended, if it holds a running claim.
 
-        A sealed one never ran, so its key is free again.  What is
-        answered, or unknown, stays so.
+        A sealed attempt never ran, so its key becomes free.  An answered or
+        unknown claim does not change.
         """
         found = self.claims.get(item.key)
         if found is None or found.state != State.RUNNING.value:
@@ -75,10 +75,10 @@
         self.claims.move_to_end(item.key)
 
     def trim(self, at: float) -> None:
-        """Forget ended claims whose time is over.
+        """Remove ended claims that have expired at `at`.
 
-        A running one is only forgotten when it is much older than any
-        request may last, and then it counts as unknown first.
+        An expired running claim, older than any request may last, first
+        becomes unknown for ten more minutes.
         """
         while self.claims:
             key, found = next(iter(self.claims.items()))
--- a/rackpost/state/commands.py
+++ b/rackpost/state/commands.py
@@ -1,7 +1,7 @@
-"""The commands of the replicated log, and what they result in.
+"""The commands of the replicated log and their results.
 
-Times are seconds since the epoch by the clock of the leader that took
-the command in; the state machine reads no clock.
+Times are seconds since the epoch by the clock of the leader that accepted
+the command; the state machine reads no clock.
 """
 
 from typing import Union
@@ -19,8 +19,8 @@
 class Write(Command, frozen=True, tag="write"):
     """Change one node of the settings tree.
 
-    `based_on` is the revision of the node that the operator had read, 0
-    for a node that did not exist; `unset` names keys to inherit again.
+    `based_on` is the revision of the node that the operator had read, or 0
+    for a new node; `unset` names keys to inherit again.
     """
 
     op: types.OperationId
@@ -33,14 +33,14 @@
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True):
-    """A declared event, at a node of the tree.
+    """An event that an operator expects, at a node of the settings tree.
 
     Attributes:
-        path: the node whose callers it concerns, and all below it.
+        path: the node whose callers, and those below it, are affected.
         start: seconds since the epoch.
-        length_s: how long it is expected to last.
-        rate: requests a second that are expected of `kinds`.
-        values: settings that hold while it lasts.
+        length_s: expected length.
+        rate: expected requests a second of `kinds`.
+        values: settings in force during the event.
     """
 
     name: str
@@ -74,7 +74,7 @@
 
 
 class MemberInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """A process of the site, as it has introduced itself."""
+    """A process of the site, as it describes itself."""
 
     name: str
     vm: types.VmId
@@ -86,20 +86,20 @@
 
 
 class Join(Command, frozen=True, tag="join"):
-    """A process has come, or come back in a new incarnation."""
+    """Add a process, or a new incarnation of it, to the members."""
 
     member: MemberInfo
 
 
 class Remove(Command, frozen=True, tag="remove"):
-    """A process is gone; a newer incarnation of it is left alone."""
+    """Remove a process, unless a newer incarnation of it has joined."""
 
     name: str
     incarnation: types.Incarnation
 
 
 class Order(Command, frozen=True, tag="order"):
-    """Order an agent to do something with its endpoint."""
+    """Give an agent an order for its endpoint."""
 
     op: types.OperationId
     who: str
@@ -119,7 +119,7 @@
 
 
 class SettleOne(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Say how a claimed attempt ended: a `ClaimState` value."""
+    """Report how a claimed attempt ended, as a `ClaimState` value."""
 
     key: types.ClaimKey
     req: types.RequestId
@@ -128,7 +128,7 @@
 
 
 class ClaimBatch(Command, frozen=True, tag="claims"):
-    """Many claims and ends of claims in one append."""
+    """A batch of claims and ends of claims."""
 
     at: float
     keep_s: float
@@ -137,9 +137,9 @@
 
 
 class SetRouting(Command, frozen=True, tag="routing"):
-    """Put a routing document in force, if its version is the highest.
+    """Put a valid routing document in force if its version is the highest.
 
-    It has been checked; `source` is its text as the operator sent it.
+    `source` is its text as the operator sent it.
     """
 
     version: int
@@ -147,13 +147,13 @@
 
 
 class TakeFence(Command, frozen=True, tag="take-fence"):
-    """A leader takes the right to give endpoints orders."""
+    """Give `holder` a new fence for orders, which invalidates older ones."""
 
     holder: types.VmId
 
 
 class Nothing(Command, frozen=True, tag="nothing"):
-    """A new leader's first record."""
+    """The first record of a new leader; changes nothing."""
 
 
 AnyCommand = Union[
@@ -171,27 +171,27 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, kw_only=True, tag="accepted"):
-    """The change is made, as this revision; `fence` for an order."""
+    """The change is accepted as `revision`, with the `fence` of an order."""
 
     revision: types.Revision
     fence: types.Fence = types.Fence(0)
 
 
 class Conflict(msgspec.Struct, frozen=True, kw_only=True, tag="conflict"):
-    """Another change came first; `theirs` tells which."""
+    """Another change, described by `theirs`, was committed first."""
 
     revision: types.Revision
     theirs: str
 
 
 class Rejected(msgspec.Struct, frozen=True, kw_only=True, tag="rejected"):
-    """The change is not valid."""
+    """The change is not valid, for the reason `why`."""
 
     why: str
 
 
 class ClaimResults(msgspec.Struct, frozen=True, kw_only=True, tag="claimed"):
-    """For each claim of a batch its state and who holds it."""
+    """The state and the holder of each claim of a batch."""
 
     states: tuple[str, ...]
     holders: tuple[ClaimOne | None, ...]
--- a/rackpost/state/machine.py
+++ b/rackpost/state/machine.py
@@ -1,4 +1,4 @@
-"""The replicated state: commands in, results out, the same everywhere."""
+"""The replicated state machine, which applies the commands of the log."""
 
 from collections import OrderedDict
 
@@ -11,15 +11,15 @@
 from rackpost.state import tree as tree_mod
 from rackpost import types
 
-# Results of operations are remembered for resends, history for reading.
+# Results are kept to answer resent operations, history for operators.
 _MAX_RESULTS = 4096
 _MAX_HISTORY = 4096
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """What one revision changed, for watchers and for the history.
+    """The change that made one revision, for watchers and the history.
 
-    A node, an event or a member is given whole; None means removed.
+    A node, event or member holds its new state, or None if it was removed.
     """
 
     revision: types.Revision
@@ -47,7 +47,7 @@
 
 
 class Image(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole state, for snapshots and for new watchers."""
+    """The full state, for snapshots and new watchers."""
 
     revision: types.Revision
     fence: types.Fence
@@ -75,7 +75,7 @@
         self.fences: dict[str, types.Fence] = {}
         self.claims = claims.ClaimTable()
         self.routing: Routing | None = None
-        # Who may give endpoints orders: the fence that was taken last.
+        # The newest fence for orders to endpoints; older ones are refused.
         self.order_fence = types.Fence(0)
         self.history: list[Change] = []
         self._results: OrderedDict[str, commands.Result] = OrderedDict()
@@ -83,7 +83,7 @@
     # Commands.
 
     def apply(self, cmd: commands.AnyCommand) -> commands.Result:
-        """Apply one command; a resent operation gets its first result."""
+        """Apply a command; a resent operation returns its first result."""
         op = getattr(cmd, "op", "")
         if op and op in self._results:
             return self._results[op]
@@ -130,9 +130,9 @@
     def _write(self, cmd: commands.Write) -> commands.Result:
         check_write(cmd, self.tree)
         old = self.tree.nodes.get(cmd.path)
-        at = old.revision if old else types.Revision(0)
-        if cmd.based_on != at:
-            return self._conflict(at)
+        current = old.revision if old else types.Revision(0)
+        if cmd.based_on != current:
+            return self._conflict(current)
         values = dict(old.values) if old else {}
         values.update(cmd.values)
         for key in cmd.unset:
@@ -151,22 +151,22 @@
             )
         )
 
-    def _conflict(self, at: types.Revision) -> commands.Conflict:
+    def _conflict(self, current: types.Revision) -> commands.Conflict:
         for change in reversed(self.history):
-            if change.revision == at:
-                what = change.path
-                if what is None:
-                    what = change.event_name
-                theirs = f"{change.who} changed {what or 'the root'}"
-                return commands.Conflict(revision=at, theirs=theirs)
-        return commands.Conflict(revision=at, theirs="an older change")
+            if change.revision == current:
+                changed = change.path
+                if changed is None:
+                    changed = change.event_name
+                theirs = f"{change.who} changed {changed or 'the root'}"
+                return commands.Conflict(revision=current, theirs=theirs)
+        return commands.Conflict(revision=current, theirs="an older change")
 
     def _declare(self, cmd: commands.Declare) -> commands.Result:
         tree_mod.check_event(cmd.event, self.tree, cmd.at)
         name = cmd.event.name
-        at = self.event_revisions.get(name, types.Revision(0))
-        if cmd.based_on != at:
-            return self._conflict(at)
+        current = self.event_revisions.get(name, types.Revision(0))
+        if cmd.based_on != current:
+            return self._conflict(current)
         before = self.tree.events.get(name)
         self.tree.events[name] = cmd.event
         self.event_revisions[name] = self._next_revision()
@@ -186,9 +186,9 @@
         before = self.tree.events.get(cmd.name)
         if before is None:
             raise exceptions.SettingsError(f"no event {cmd.name!r}")
-        at = self.event_revisions[cmd.name]
-        if cmd.based_on != at:
-            return self._conflict(at)
+        current = self.event_revisions[cmd.name]
+        if cmd.based_on != current:
+            return self._conflict(current)
         del self.tree.events[cmd.name]
         del self.event_revisions[cmd.name]
         return self._record(
@@ -210,7 +210,7 @@
         if old is not None and new.incarnation < old.incarnation:
             return commands.Rejected(why="a newer incarnation has joined")
         self.members[new.name] = new
-        # An agent that comes back may order nothing under an old fence.
+        # A new incarnation of an agent invalidates its older fences.
         self.fence = types.Fence(self.fence + 1)
         self.fences[new.name] = self.fence
         return self._record(
@@ -258,7 +258,7 @@
         )
 
     def _set_routing(self, cmd: commands.SetRouting) -> commands.Result:
-        # An older document may come late or twice; it changes nothing.
+        # An older document may arrive late or twice.
         if self.routing is not None and cmd.version <= self.routing.version:
             return commands.Accepted(revision=self.revision)
         self.routing = Routing(version=cmd.version, source=cmd.source)
@@ -287,7 +287,7 @@
     # Queries.
 
     def changes_after(self, revision: types.Revision) -> list[Change] | None:
-        """The changes since `revision`; None if some are forgotten."""
+        """Return the changes since `revision`; None if not all are kept."""
         if revision > self.revision:
             return None
         missing = self.revision - revision
@@ -296,7 +296,7 @@
         return self.history[len(self.history) - missing :]
 
     def image(self) -> Image:
-        """The whole state."""
+        """Return the full state."""
         return Image(
             revision=self.revision,
             fence=self.fence,
@@ -316,7 +316,7 @@
         )
 
     def restore(self, image: Image) -> None:
-        """Take over a whole state."""
+        """Replace the state by an image."""
         self.__init__()  # type: ignore[misc]
         self.revision = image.revision
         self.fence = image.fence
@@ -334,7 +334,7 @@
 
 
 def check_write(cmd: commands.Write, tree: tree_mod.Tree) -> None:
-    """Raise SettingsError where a write is not valid as a whole."""
+    """Raise SettingsError if a write is not valid."""
     schema.check_path(cmd.path)
     if len(cmd.values) + len(cmd.unset) > 256:
         raise exceptions.SettingsError("too many keys in one change")
--- a/rackpost/state/schema.py
+++ b/rackpost/state/schema.py
@@ -1,4 +1,4 @@
-"""Every setting there is: its type, unit, bounds and meaning.
+"""The settings, with type, unit, bounds and meaning.
 
 A key in the tree is `[service[/kind].]name`, for example `weight`,
 `tolk.ttft_s` or `tolk/dispatch.ttft_s`.
@@ -23,7 +23,7 @@
 
 
 class Scope(NamedTuple):
-    """What a key speaks of: a setting, perhaps of one service or kind."""
+    """The parts of a key: a setting, perhaps of one service or kind."""
 
     service: str
     kind: str
@@ -31,7 +31,7 @@
 
 
 class Setting(NamedTuple):
-    """One setting.  `words` lists the values of a setting of words."""
+    """One setting; `words` lists the values of an enumerated one."""
 
     name: str
     default: Value
@@ -77,7 +77,7 @@
 
 
 def parse_key(key: str) -> Scope:
-    """The parts of a key; SettingsError where there is no such key."""
+    """Return the parts of a key; raises SettingsError if it is unknown."""
     found = _KEY.match(key)
     if found is None or found["name"] not in SETTINGS:
         names = ", ".join(sorted(SETTINGS))
@@ -88,7 +88,7 @@
 
 
 def check_path(path: str) -> None:
-    """Raise SettingsError where `path` can't name a node."""
+    """Raise SettingsError if `path` is not a valid name of a node."""
     if not _PATH.match(path):
         raise exceptions.SettingsError(
             f"bad path {path!r}: lower-case words joined by '/'"
@@ -96,7 +96,7 @@
 
 
 def check_value(key: str, value: Value) -> None:
-    """Raise SettingsError where a value does not fit its setting."""
+    """Raise SettingsError if a value does not fit its setting."""
     spec = SETTINGS[parse_key(key).name]
     if spec.words:
         if value not in spec.words:
--- a/rackpost/state/terms.py
+++ b/rackpost/state/terms.py
@@ -1,4 +1,4 @@
-"""What a caller is promised for a kind of request of a service."""
+"""The service level and limits of a caller's requests."""
 
 import msgspec
 
@@ -10,12 +10,12 @@
 
     Attributes:
         ttft_s: time to the first token, or to a plain answer's head.
-        tbt_s: mean time between tokens over an answer.
-        weight: how much an answer counts; 1 is ordinary.
-        repeat: how often such a request may run.
-        max_open: open requests of the caller at one entry.
-        retry_share: retries of the service, as a share of its requests.
-        whole_s: time in which the whole answer must have ended.
+        tbt_s: mean time between the tokens of an answer.
+        weight: value of an answer; 1 is ordinary.
+        repeat: how often a request may run.
+        max_open: limit of the caller's open requests at one entry.
+        retry_share: limit of retries, as a share of the service's requests.
+        whole_s: time to the end of the answer.
     """
 
     ttft_s: float = 0.59
--- a/rackpost/state/tree.py
+++ b/rackpost/state/tree.py
@@ -1,4 +1,4 @@
-"""The settings tree: nodes inherit from their parent and override."""
+"""The settings tree, whose nodes inherit from their parents."""
 
 from typing import Iterable
 from typing import Iterator
@@ -14,16 +14,16 @@
 
 
 class Node(msgspec.Struct, frozen=True, kw_only=True):
-    """What one node itself says; the rest it inherits."""
+    """The settings of one node; it inherits all others."""
 
     revision: types.Revision
     values: dict[str, schema.Value]
 
 
 class Source(NamedTuple):
-    """An effective value, and the node and key that it comes from.
+    """An effective value, with the node and key that set it.
 
-    `event` names the event that overrides, `node` is None for a default.
+    `node` is None for a default; `event` names the event that set the value.
     """
 
     value: schema.Value
@@ -33,7 +33,7 @@
 
 
 def ancestors(path: str) -> Iterator[str]:
-    """The root's path, then each node's on the way down to `path`."""
+    """Yield the paths of the nodes from the root to `path`."""
     yield ""
     if path:
         words = path.split("/")
@@ -42,11 +42,7 @@
 
 
 class Tree:
-    """All nodes and declared events; queries only.
-
-    `now` is in seconds since the epoch; events count from their start to
-    their end.
-    """
+    """The nodes and declared events; times are seconds since the epoch."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
@@ -54,7 +50,7 @@
         self._by_key: dict[str, str] = {}
 
     def put(self, path: str, node: Node) -> None:
-        """Set a node; one without values is kept for its revision."""
+        """Set a node; an empty one is kept for its revision."""
         old = self.nodes.get(path)
         if old is not None and "caller_key" in old.values:
             self._by_key.pop(str(old.values["caller_key"]), None)
@@ -63,17 +59,18 @@
             self._by_key[str(node.values["caller_key"])] = path
 
     def caller_of(self, key_hash: str) -> types.CallerId | None:
-        """The caller whose bearer key has this SHA-256, in hex."""
+        """Return the caller whose bearer key has this SHA-256, in hex."""
         path = self._by_key.get(key_hash)
         return None if path is None else types.CallerId(path)
 
     def source(
         self, path: str, service: str, kind: str, name: str, now: float
     ) -> Source:
-        """The effective value of a setting and where it comes from.
+        """Return the effective value of a setting and its source.
 
-        The node nearest to `path` counts, an event in force before its
-        node, and at one node the key that says most.
+        The node nearest to `path` has precedence.  At one node, an event in
+        force precedes the node's values, and a more specific key a general
+        one.
         """
         keys = (f"{service}/{kind}.{name}", f"{service}.{name}", name)
         if not schema.SETTINGS[name].inherited:
@@ -109,13 +106,13 @@
     def value(
         self, path: str, service: str, kind: str, name: str, now: float
     ) -> schema.Value:
-        """The effective value of a setting."""
+        """Return the effective value of a setting."""
         return self.source(path, service, kind, name, now).value
 
     def terms(
         self, path: str, service: str, kind: str, now: float
     ) -> terms.Terms:
-        """What a caller is promised for a kind of request."""
+        """Return the service level and limits of a kind of request."""
 
         def get(name: str) -> schema.Value:
             return self.value(path, service, kind, name, now)
@@ -131,7 +128,7 @@
         )
 
     def services(self) -> set[str]:
-        """The services that any node speaks of."""
+        """Return the services with a setting at some node."""
         found = set()
         for node in self.nodes.values():
             for key in node.values:
@@ -139,7 +136,7 @@
         return found - {""}
 
     def kinds(self, service: str) -> set[str]:
-        """The kinds of a service that any node speaks of."""
+        """Return the kinds of a service with a setting at some node."""
         found = set()
         for node in self.nodes.values():
             for key in node.values:
@@ -150,7 +147,7 @@
 
 
 def check_event(event: commands.Event, tree: Tree, at: float) -> None:
-    """Raise SettingsError where an event can't be declared."""
+    """Raise SettingsError if an event is not valid."""
     if not event.name or len(event.name) > 128:
         raise exceptions.SettingsError("an event needs a short name")
     schema.check_path(event.path)
@@ -181,12 +178,12 @@
     for other in tree.events.values():
         if other.name == event.name or other.path != event.path:
             continue
-        apart = (
+        is_disjoint = (
             other.start + other.length_s <= event.start
             or event.start + event.length_s <= other.start
         )
-        clash = set(other.values) & set(event.values)
-        if not apart and clash:
+        common = set(other.values) & set(event.values)
+        if not is_disjoint and common:
             raise exceptions.SettingsError(
-                f"overlaps {other.name!r} in {', '.join(sorted(clash))}"
+                f"overlaps {other.name!r} in {', '.join(sorted(common))}"
             )
