--- a/rackpost/control/client.py
+++ b/rackpost/control/client.py
@@ -1,4 +1,4 @@
-"""A process's link to control: what is in force, and what it asks."""
+"""A process's client of control: the state in force, and requests."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 from rackpost import types
 
 STATUS_S = 2.0
-# A replica that says nothing for this long is left for another.
+# After this long without a message the client tries another replica.
 _SILENT_S = 3.0
 _ANSWER_TIMEOUT_S = 1.0
 _FIRST_PAUSE_S = 0.05
@@ -29,7 +29,7 @@
 
 
 class InForce:
-    """The state that a process runs on: it only ever moves forward."""
+    """The state that a process runs on; its revision never decreases."""
 
     def __init__(self) -> None:
         self.revision = types.Revision(0)
@@ -38,7 +38,7 @@
         self.fences: dict[str, types.Fence] = {}
 
     def take_whole(self, image: machine.Image) -> bool:
-        """Take a whole state; False, and nothing done, if it is older."""
+        """Replace the state by an image; return False if that is older."""
         if image.revision < self.revision:
             return False
         self.tree = tree_mod.Tree()
@@ -51,7 +51,7 @@
         return True
 
     def take(self, change: machine.Change) -> bool:
-        """Take the next change; False if it is not the next one."""
+        """Apply a change; return False if an earlier one is missing."""
         if change.revision <= self.revision:
             return True
         if change.revision != self.revision + 1:
@@ -77,10 +77,10 @@
 
 
 class ControlClient:
-    """Keeps one process in touch with one of the control replicas.
+    """Keeps one process linked to one of the control replicas.
 
-    `changed` is told whenever a newer state is in force, `ordered` of
-    each order.  Before the first state has come, `ready` is not set.
+    `changed` is called whenever a newer state is in force, and `ordered` for
+    each order.  `ready` is set once the first state has arrived.
     """
 
     def __init__(
@@ -109,23 +109,23 @@
         self._conn: channel.Channel | None = None
         self._ended = asyncio.Event()
         self._last_message_at = 0.0
-        # A `Watch` was sent over this link that has had no answer.
+        # A `Watch` on this link is unanswered.
         self._watch_pending = False
         self._number = 0
         self._requested: dict[int, asyncio.Future[commands.Result | None]] = {}
         rng.shuffle(self._addresses)
 
     async def run(self) -> None:
-        """Stay in touch with some replica until cancelled."""
+        """Stay linked to some replica until cancelled."""
         pause = _FIRST_PAUSE_S
         while True:
             address = self._addresses[0]
             self._addresses.append(self._addresses.pop(0))
             with contextlib.suppress(exceptions.LinkError):
                 async with self._connect(address) as conn:
-                    began = self._last_message_at
+                    before = self._last_message_at
                     await self._serve(conn)
-                    if self._last_message_at > began:
+                    if self._last_message_at > before:
                         pause = _FIRST_PAUSE_S
             await asyncio.sleep(pause * (0.5 + self._rng.random()))
             pause = min(_MAX_PAUSE_S, pause * 2)
@@ -161,7 +161,7 @@
         )
 
     async def _stay_joined(self) -> None:
-        # A process that was cut off for long may have been removed.
+        # A process that was cut off may have been removed from the members.
         while self._join is not None:
             if self.in_force.members.get(self._name) != self._join:
                 with contextlib.suppress(exceptions.ControlError):
@@ -175,9 +175,9 @@
     def _forget_link(self) -> None:
         self._conn = None
         self._watch_pending = False
-        asked = self._requested
+        pending = self._requested
         self._requested = {}
-        for fut in asked.values():
+        for fut in pending.values():
             if not fut.done():
                 fut.set_result(None)
 
@@ -211,17 +211,17 @@
             self._fetch()
 
     def behind(self, revision: types.Revision) -> bool:
-        """Whether a peer runs on a newer state; fetches it if so."""
+        """Whether a peer runs on a newer state; if so, fetch it."""
         if revision <= self.in_force.revision:
             return False
         self._fetch()
         return True
 
     def _fetch(self) -> None:
-        """Ask for what is newer, unless that is on its way.
+        """Request newer state, unless a request is unanswered.
 
-        Peers tell of newer states many times a second; an answer that
-        takes long must not be joined by copies of it.
+        Peers report newer revisions many times a second, and each answer may
+        be large.
         """
         if self._conn is None or self._watch_pending:
             return
@@ -235,7 +235,7 @@
         self._changed()
 
     async def ask(self, cmd: commands.AnyCommand) -> commands.Result:
-        """Have a command committed; ControlError if that is not known."""
+        """Commit a command; raises ControlError if its result is unknown."""
         if self._conn is None:
             raise exceptions.ControlError("no control replica is linked")
         self._number += 1
--- a/rackpost/control/messages.py
+++ b/rackpost/control/messages.py
@@ -11,18 +11,18 @@
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The base of all messages of control."""
+    """The base of control's messages."""
 
 
 class Watch(_Message, frozen=True, tag="watch"):
-    """Ask for all changes after `revision`, from a confirmed index on."""
+    """A subscription to the changes after `revision`."""
 
     name: str
     revision: types.Revision
 
 
 class Status(_Message, frozen=True, tag="status"):
-    """A process lives, and runs on this revision."""
+    """A process is alive and runs on `revision`."""
 
     name: str
     incarnation: types.Incarnation
@@ -30,72 +30,75 @@
 
 
 class CommandRequest(_Message, frozen=True, tag="ask"):
-    """Have a command appended; the answer carries the same `number`."""
+    """A request to commit a command; its `Answer` has the same `number`."""
 
     number: int
     command: commands.AnyCommand
 
 
 class Feed(_Message, frozen=True, tag="feed"):
-    """Changes in order; the first follows what the watcher has."""
+    """Consecutive changes, from the watcher's next revision on."""
 
     changes: tuple[machine.Change, ...]
 
 
 class Whole(_Message, frozen=True, tag="whole"):
-    """The state as a whole, for a watcher that is far behind."""
+    """The full state, for a watcher too far behind for changes."""
 
     image: machine.Image
 
 
 class Alive(_Message, frozen=True, tag="alive"):
-    """The replica is in touch with a quorum, at this revision."""
+    """The replica is in contact with a quorum and has `revision`."""
 
     revision: types.Revision
 
 
 class Answer(_Message, frozen=True, tag="answer"):
-    """The result of a command; None if it is not known and may be resent."""
+    """The result of a command, or None if it is unknown.
+
+    The same operation may then be sent again.
+    """
 
     number: int
     result: commands.Result | None
 
 
 class Forward(_Message, frozen=True, tag="forward"):
-    """A follower hands a command to the leader."""
+    """A command that a follower passes to the leader."""
 
     number: int
     command: bytes
 
 
 class Forwarded(_Message, frozen=True, tag="forwarded"):
-    """The leader's answer; None if it could not have it committed."""
+    """The leader's answer to `Forward`; None if the result is unknown."""
 
     number: int
     result: commands.Result | None
 
 
 class ReadRequest(_Message, frozen=True, tag="read"):
-    """A follower asks the leader for a confirmed index."""
+    """A follower's request for a confirmed read index."""
 
     number: int
 
 
 class ReadIndex(_Message, frozen=True, tag="read-at"):
-    """The confirmed index, None if there is none at present."""
+    """The leader's answer to `ReadRequest`; None if it can't confirm one."""
 
     number: int
     index: consensus.Index | None
 
 
 class StatusReport(_Message, frozen=True, tag="heard"):
-    """Which processes a replica has heard of since its last `StatusReport`."""
+    """The latest status of processes since the replica's last report."""
 
     seen: tuple[Status, ...]
 
 
 class ReplicaHello(_Message, frozen=True, tag="replica"):
-    """First message between two replicas."""
+    """The first message on a link between two replicas."""
 
     replica: consensus.ReplicaId
 
--- a/rackpost/control/node.py
+++ b/rackpost/control/node.py
@@ -1,4 +1,4 @@
-"""A control replica: the task that owns consensus, disk and state."""
+"""A control replica: consensus, its disk and the state machine."""
 
 import asyncio
 import contextlib
@@ -24,12 +24,12 @@
 T = TypeVar("T")
 
 _TICK_S = 0.05
-# The log is compacted when it holds this many records.
+# Records in the log at which it is compacted.
 COMPACT_AT = 4096
-# It is also compacted when its commands hold this much, in bytes: with the
-# snapshot and its copy that stays far below the smallest disk (128 MB).
+# Bytes of commands in the log at which it is compacted.  Keeps the log, the
+# snapshot and its copy well below the smallest disk (128 MB).
 COMPACT_BYTES = 8 << 20
-# How long a command or a confirmed read may take before it is given up.
+# The time limit of a command or a confirmed read.
 _TIMEOUT_S = 3.0
 _REPORT_INTERVAL_S = 1.0
 
@@ -50,8 +50,8 @@
 class Node:
     """One replica.
 
-    All its state is touched by its own event loop only; what must be on
-    the disk is synced before anything that depends on it is sent.
+    Only its event loop changes its state.  Changes are synced to the disk
+    before any message that depends on them is sent.
     """
 
     def __init__(
@@ -83,12 +83,12 @@
             copies=copies,
             committed=loaded.committed,
         )
-        # What the state machine holds; consensus itself may be ahead while
-        # an output is being synced.
+        # The last record that the state machine has applied; consensus is
+        # ahead while an output is being synced.
         self._applied = loaded.log.snapshot.index
         self._peers: dict[consensus.ReplicaId, channel.Channel] = {}
         self._wake = asyncio.Event()
-        # What is known to be committed is applied at once.
+        # Records already known to be committed are applied at once.
         self._wake.set()
         self._number = 0
         self._forwarded: dict[int, asyncio.Future[commands.Result | None]] = {}
@@ -98,7 +98,7 @@
         self._watchers: set[Watcher] = set()
         # Bytes of commands in the log since its last snapshot.
         self._log_bytes = 0
-        # Takes the messages of other replicas that are not about the log.
+        # Called for other replicas' messages that are not about the log.
         self.on_other_message: Callable[
             [consensus.ReplicaId, msgspec.Struct], None
         ] = lambda peer, msg: None
@@ -107,7 +107,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads, as far as it knows."""
+        """Whether this replica is the leader, as far as it knows."""
         return self._raft.role is raft.Role.LEADER
 
     @property
@@ -117,32 +117,32 @@
 
     @property
     def config(self) -> consensus.Config:
-        """The replicas of the site."""
+        """The voters and learners of the site."""
         return self._raft.config
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         return self._raft.term
 
     @property
     def mark(self) -> storage.CommitMark | None:
-        """The newest record that is applied here; None if there is none."""
+        """The last applied record, or None if there is none."""
         term = self._raft.log.term_at(self._applied)
         if term is None or self._applied == 0:
             return None
         return storage.CommitMark(index=self._applied, term=term)
 
     def in_quorum_contact(self) -> bool:
-        """Whether this replica was in touch with a quorum lately."""
+        """Whether this replica was recently in contact with a quorum."""
         return self._raft.in_quorum_contact(self._loop.time())
 
     def silence(self, peer: consensus.ReplicaId) -> float:
-        """Seconds since this leader last heard a replica."""
+        """Return the seconds since a replica's last reply to this leader."""
         return self._raft.silence(peer, self._loop.time())
 
     def caught_up(self, peer: consensus.ReplicaId) -> bool:
-        """Whether a replica has all that this leader has committed."""
+        """Whether a replica holds all records committed by this leader."""
         return self._raft.caught_up(peer)
 
     # Links to other replicas.
@@ -150,7 +150,7 @@
     def connect(
         self, peer: consensus.ReplicaId, conn: channel.Channel
     ) -> None:
-        """A link to another replica is up; it replaces an older one."""
+        """Use a new link to another replica in place of an older one."""
         self._peers[peer] = conn
         conn.attach(
             receive=lambda msg: self._on_message(peer, msg),
@@ -160,7 +160,7 @@
         self._raft.relinked(peer)
 
     def accept(self, peer: consensus.ReplicaId, conn: channel.Channel) -> None:
-        """Receive from a link that another replica made to send on."""
+        """Receive messages on a link that another replica opened."""
         conn.attach(
             receive=lambda msg: self._on_message(peer, msg),
             closed=lambda: None,
@@ -177,10 +177,10 @@
             self._abandon_forwarded()
 
     def _abandon_forwarded(self) -> None:
-        # Whether the leader took them is not known: they may be resent.
-        asked, reads = self._forwarded, self._reads
+        # The leader may or may not have received them.
+        forwarded, reads = self._forwarded, self._reads
         self._forwarded, self._reads = {}, {}
-        for fut in asked.values():
+        for fut in forwarded.values():
             _settle(fut, None)
         for read in reads.values():
             _settle(read, None)
@@ -206,11 +206,11 @@
             self.on_other_message(peer, msg)
 
     def tell(self, peer: consensus.ReplicaId, msg: msgspec.Struct) -> None:
-        """Send a message that is not about the log; lost without a link."""
+        """Send a message that is not about the log; dropped without a link."""
         self._send(peer, msg)
 
     def tell_all(self, msg: msgspec.Struct) -> None:
-        """Send such a message to all replicas that are linked."""
+        """Send a message that is not about the log to all linked replicas."""
         for peer in list(self._peers):
             self._send(peer, msg)
 
@@ -222,10 +222,10 @@
     # Commands and reads.
 
     async def commit(self, cmd: commands.AnyCommand) -> commands.Result | None:
-        """Have a command committed; its result.
+        """Commit a command and return its result.
 
-        None if that is not known: it may have been committed or not, and
-        may be asked again under the same operation id.
+        None means that the result is unknown: the command may have been
+        committed, and may be sent again with the same operation id.
         """
         fut: asyncio.Future[commands.Result | None]
         fut = self._loop.create_future()
@@ -278,16 +278,16 @@
         return self._number
 
     async def confirm_read(self) -> bool:
-        """Wait until the state here is at least as new as the question.
+        """Wait until the state includes all changes committed before the call.
 
-        False if no quorum confirms it in time.
+        Returns False if no quorum confirms that in time.
         """
         until = self._loop.time() + _TIMEOUT_S
         while self._loop.time() < until:
             index = await self._read_index()
             if index is not None:
                 return await self._wait_applied(index)
-            # There is no leader, or one too new to confirm anything.
+            # There is no leader, or it is too new to confirm a read.
             await asyncio.sleep(_TICK_S)
         return False
 
@@ -345,17 +345,17 @@
         return True
 
     def change_config(self, new: consensus.Config) -> None:
-        """Propose other replicas; ControlError says why it can't be."""
-        why = self._raft.change_config(new, self._loop.time())
+        """Propose a new config; raises ControlError if it is refused."""
+        reason = self._raft.change_config(new, self._loop.time())
         self._wake.set()
-        if why is not None:
-            raise exceptions.ControlError(why)
+        if reason is not None:
+            raise exceptions.ControlError(reason)
 
-    # Watchers and what the replica has heard of processes.
+    # Watchers and the status of processes.
 
     @contextlib.contextmanager
     def watched(self, watcher: Watcher) -> Iterator[None]:
-        """Tell `watcher` of all changes; None when the state jumps."""
+        """Call `watcher` with changes, or with None after a new snapshot."""
         self._watchers.add(watcher)
         try:
             yield
@@ -363,7 +363,7 @@
             self._watchers.discard(watcher)
 
     def record_status(self, status: messages.Status) -> None:
-        """A process has told this replica that it lives."""
+        """Record the status of a process linked to this replica."""
         self.seen[status.name] = (status, self._loop.time())
         self._unreported[status.name] = status
 
@@ -372,8 +372,8 @@
     async def run(self) -> None:
         """Run the replica until cancelled.
 
-        Raises StorageError where the disk fails: what it holds is then
-        not known, and only a restart helps.
+        Raises StorageError if the disk fails; the replica must then be
+        restarted, as the content of the disk is unknown.
         """
         while True:
             with contextlib.suppress(TimeoutError):
@@ -393,8 +393,8 @@
         if out.lost_leadership:
             self._abandon_proposed()
         self._apply(out.committed)
-        for token, good in out.reads:
-            index = self._raft.commit if good else None
+        for token, confirmed in out.reads:
+            index = self._raft.commit if confirmed else None
             _settle(self._reads.pop(token, None), index)
         if self._is_log_long():
             await self._compact()
@@ -443,11 +443,11 @@
         ]
 
     def _apply_entry(self, entry: consensus.Entry) -> commands.Result:
-        """Apply a record; one that can't be applied is rejected by all alike.
+        """Apply a record; reject it if that raises an exception.
 
-        The same software finds the same fault in it, now and after each
-        restart.  One that can't be read is of a newer software, which does
-        apply it: then this replica must end, by CodecError.
+        All replicas of the same version fail alike, also after a restart.
+        Raises CodecError for a record that can't be decoded, as a newer
+        version can apply it.
         """
         cmd = _COMMANDS.decode(entry.data)
         try:
@@ -463,10 +463,10 @@
             return commands.Rejected(why="it can't be applied")
 
     def _abandon_proposed(self) -> None:
-        # Another leader may or may not commit them: nobody here knows.
-        asked = self._proposed
+        # Another leader may or may not commit them.
+        proposed = self._proposed
         self._proposed = {}
-        for fut in asked.values():
+        for fut in proposed.values():
             _settle(fut, None)
 
     def _report_statuses(self) -> None:
--- a/rackpost/control/operators.py
+++ b/rackpost/control/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface of a control replica."""
+"""The HTTP interface of a control replica for operators."""
 
 import hmac
 import time
@@ -26,7 +26,7 @@
 
 
 class WriteBody(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A change of one node, as operators send it."""
+    """The body of a request to change one node."""
 
     op: str
     who: str
@@ -38,7 +38,7 @@
 
 
 class EventBody(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A declared event, as operators send it."""
+    """The body of a request to declare an event."""
 
     op: str
     who: str
@@ -47,7 +47,7 @@
 
 
 class WithdrawBody(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The end of a declared event."""
+    """The body of a request to withdraw an event."""
 
     op: str
     who: str
@@ -56,7 +56,7 @@
 
 
 class OrderBody(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """An order to an agent."""
+    """The body of a request to give an agent an order."""
 
     op: str
     who: str
@@ -65,14 +65,14 @@
 
 
 class ReplicasBody(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """Which replicas shall vote, and which only learn."""
+    """The body of a request to change the voters and learners."""
 
     voters: list[str]
     learners: list[str] = []
 
 
 class MemberView(msgspec.Struct, kw_only=True):
-    """A process, and the revision that it runs on."""
+    """A member and the revision that it runs on."""
 
     member: commands.MemberInfo
     fence: int
@@ -81,7 +81,7 @@
 
 
 class StatusView(msgspec.Struct, kw_only=True):
-    """The state of the site as one replica sees it."""
+    """The state of the site as seen by one replica."""
 
     replica: str
     leader: str | None
@@ -94,7 +94,7 @@
 
 
 class SourceView(msgspec.Struct, kw_only=True):
-    """An effective value and where it comes from."""
+    """An effective value and its source."""
 
     name: str
     value: schema.Value
@@ -105,7 +105,7 @@
 
 
 class NodeView(msgspec.Struct, kw_only=True):
-    """One node: what it says itself, and what is in force there."""
+    """The values of one node and the effective ones there."""
 
     path: str
     revision: int
@@ -139,7 +139,7 @@
 
 
 class OperatorApp:
-    """Routes of the operators' interface; all need the bearer key."""
+    """The routes for operators; those under `/v1/` need the bearer key."""
 
     def __init__(
         self,
@@ -174,9 +174,9 @@
         self, path: str, handler: Handler, method: str = "GET"
     ) -> routing.Route:
         async def guarded(req: requests.Request) -> responses.Response:
-            given = req.headers.get("authorization", "")
+            header = req.headers.get("authorization", "")
             if not hmac.compare_digest(
-                given.encode(), f"Bearer {self._key}".encode()
+                header.encode(), f"Bearer {self._key}".encode()
             ):
                 self._metrics.count(
                     "refused_peer", types.Refusal.NOT_OF_THE_SITE
@@ -198,7 +198,7 @@
     async def _confirm(self) -> None:
         if not await self._node.confirm_read():
             raise exceptions.ControlError(
-                "no quorum confirms a read; ask another replica or again"
+                "no quorum confirms a read; try again or another replica"
             )
 
     async def _show(self, req: requests.Request) -> responses.Response:
@@ -280,17 +280,17 @@
     # Changes.
 
     async def _write(self, req: requests.Request) -> responses.Response:
-        asked = await _read(req, WriteBody)
+        body = await _read(req, WriteBody)
         cmd = commands.Write(
-            op=types.OperationId(asked.op),
-            who=asked.who,
+            op=types.OperationId(body.op),
+            who=body.who,
             at=self._now(),
-            path=asked.path,
-            based_on=types.Revision(asked.based_on),
-            values=asked.values,
-            unset=tuple(asked.unset),
+            path=body.path,
+            based_on=types.Revision(body.based_on),
+            values=body.values,
+            unset=tuple(body.unset),
         )
-        if asked.dry_run:
+        if body.dry_run:
             return await self._dry_run(cmd)
         return await self._commit(cmd)
 
@@ -312,47 +312,47 @@
         return _json({"revision": node.revision, "changes": changed})
 
     async def _declare(self, req: requests.Request) -> responses.Response:
-        asked = await _read(req, EventBody)
+        body = await _read(req, EventBody)
         return await self._commit(
             commands.Declare(
-                op=types.OperationId(asked.op),
-                who=asked.who,
+                op=types.OperationId(body.op),
+                who=body.who,
                 at=self._now(),
-                based_on=types.Revision(asked.based_on),
-                event=asked.event,
+                based_on=types.Revision(body.based_on),
+                event=body.event,
             )
         )
 
     async def _withdraw(self, req: requests.Request) -> responses.Response:
-        asked = await _read(req, WithdrawBody)
+        body = await _read(req, WithdrawBody)
         return await self._commit(
             commands.Withdraw(
-                op=types.OperationId(asked.op),
-                who=asked.who,
+                op=types.OperationId(body.op),
+                who=body.who,
                 at=self._now(),
-                based_on=types.Revision(asked.based_on),
-                name=asked.name,
+                based_on=types.Revision(body.based_on),
+                name=body.name,
             )
         )
 
     async def _order(self, req: requests.Request) -> responses.Response:
-        asked = await _read(req, OrderBody)
+        body = await _read(req, OrderBody)
         return await self._commit(
             commands.Order(
-                op=types.OperationId(asked.op),
-                who=asked.who,
+                op=types.OperationId(body.op),
+                who=body.who,
                 at=self._now(),
-                agent=types.AgentId(asked.agent),
-                what=asked.what,
+                agent=types.AgentId(body.agent),
+                what=body.what,
             )
         )
 
     async def _replicas(self, req: requests.Request) -> responses.Response:
-        asked = await _read(req, ReplicasBody)
+        body = await _read(req, ReplicasBody)
         new = consensus.Config(
-            voters=tuple(consensus.ReplicaId(item) for item in asked.voters),
+            voters=tuple(consensus.ReplicaId(item) for item in body.voters),
             learners=tuple(
-                consensus.ReplicaId(item) for item in asked.learners
+                consensus.ReplicaId(item) for item in body.learners
             ),
         )
         self._node.change_config(new)
@@ -362,7 +362,8 @@
         result = await self._node.commit(cmd)
         if result is None:
             raise exceptions.ControlError(
-                "not known if it was accepted; send the same operation again"
+                "unknown whether it was accepted; "
+                "send the same operation again"
             )
         if isinstance(result, commands.Conflict):
             return _json(result, 409)
--- a/rackpost/control/platform.py
+++ b/rackpost/control/platform.py
@@ -1,8 +1,8 @@
-"""The platform's list of VMs: a lagging hint that a VM is leaving.
+"""Orders agents to leave when the platform lists their VMs as leaving.
 
-Only a hint: leases and an agent's own word decide who is a member.  An
-agent on a VM that is listed as leaving is ordered to leave, once for each
-of its incarnations, whichever replica leads.
+The list may lag and does not decide membership, which follows leases and the
+agents' own messages.  Each incarnation of an agent gets one order, whichever
+replica leads.
 """
 
 import abc
@@ -24,7 +24,7 @@
 
 
 class VmState(enum.Enum):
-    """What the platform says of a VM."""
+    """The state of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -38,15 +38,15 @@
 
 
 class PlatformList(abc.ABC):
-    """Where the list comes from."""
+    """A source of the platform's list of VMs."""
 
     @abc.abstractmethod
     async def read(self) -> list[Vm]:
-        """The list as it is now; ControlError if it can't be had."""
+        """Return the current list; raises ControlError if that fails."""
 
 
 class HttpList(PlatformList):
-    """The list as JSON at a URL: `[{"name": …, "state": …}, …]`."""
+    """A list in JSON at a URL: `[{"name": …, "state": …}, …]`."""
 
     def __init__(self, *, url: str) -> None:
         self._url = url
@@ -69,7 +69,7 @@
 
 
 class LeavingVmOrders:
-    """Has agents on leaving VMs leave."""
+    """Orders agents on leaving VMs to leave."""
 
     def __init__(self, *, node: node_mod.Node, platform: PlatformList) -> None:
         self._node = node
@@ -77,7 +77,7 @@
         self._ordered: set[str] = set()
 
     async def run(self) -> None:
-        """Follow the list while this replica leads, until cancelled."""
+        """Poll the list while this replica leads, until cancelled."""
         while True:
             await asyncio.sleep(POLL_S)
             if not self._node.is_leader:
@@ -85,14 +85,18 @@
             try:
                 await self._order_leaving(await self._platform.read())
             except exceptions.ControlError as exc:
-                logs.say(logs.Part.CONTROL, "No list.", why=str(exc))
+                logs.say(
+                    logs.Part.CONTROL,
+                    "Platform list unavailable.",
+                    why=str(exc),
+                )
 
     async def _order_leaving(self, listed: list[Vm]) -> None:
         leaving = {vm.name for vm in listed if vm.state is VmState.LEAVING}
         for member in list(self._node.machine.members.values()):
             if member.vm not in leaving or not member.service:
                 continue
-            # The id is the same at every replica: one order is made.
+            # All replicas derive the same id, so one order is committed.
             op = f"leave/{member.name}/{member.incarnation}"
             if op in self._ordered:
                 continue
--- a/rackpost/control/process.py
+++ b/rackpost/control/process.py
@@ -1,4 +1,4 @@
-"""The control replica as a process: its disk, its peers, its clients."""
+"""The process of a control replica, with its disk, peers and clients."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class Ports(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the replica listens."""
+    """The ports on which the replica listens."""
 
     links: int
     operators: int
@@ -38,13 +38,15 @@
 def create(
     opts: config.ControlOptions, *, replica: str, first: list[str]
 ) -> None:
-    """Make the data folder of a new replica.
+    """Create the data folder of a new replica.
 
-    `first` are the voters of a new site, this one among them; none for a
-    replica that will be added to a site.
+    `first` are the voters of a new site, including this replica, or empty if
+    the replica joins a site.
     """
     if first and replica not in first:
-        raise exceptions.ConfigError("the first voters must hold this one")
+        raise exceptions.ConfigError(
+            "the first voters must include this replica"
+        )
     voters = tuple(consensus.ReplicaId(item) for item in first)
     storage.create(
         pathlib.Path(opts.data),
@@ -65,7 +67,7 @@
         if loaded.torn_bytes:
             logs.say(
                 logs.Part.CONTROL,
-                "Cut a torn end off the log.",
+                "Cut a torn frame off the log.",
                 bytes=loaded.torn_bytes,
             )
         self.node = node_mod.Node(
@@ -100,7 +102,7 @@
         logs.say(logs.Part.CONTROL, "Refused a peer.", why=why)
 
     async def _link_to(self, peer: str, address: str) -> None:
-        # Of two replicas the one with the lesser id makes the link.
+        # Of two replicas the one with the lower id opens the link.
         while True:
             with contextlib.suppress(exceptions.LinkError):
                 async with websocket.connected(
@@ -115,9 +117,9 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[Ports]:
-        """Serve replicas, processes and operators; yields the ports.
+        """Serve replicas, processes and operators; yield the ports.
 
-        If the disk fails the replica ends: `failed` is then set.
+        If the disk fails, the replica stops and `failed` is set.
         """
         self.failed: asyncio.Event = asyncio.Event()
         host, port = self.opts.bind()
@@ -139,7 +141,7 @@
                     refused=self._on_refused,
                 )
             )
-            asked = await stack.enter_async_context(
+            operators_port = await stack.enter_async_context(
                 http_server.serving(app.app, host=op_host, port=op_port)
             )
             tasks = [
@@ -159,7 +161,7 @@
                     )
             logs.say(logs.Part.CONTROL, "Serving.", links=links)
             try:
-                yield Ports(links=links, operators=asked)
+                yield Ports(links=links, operators=operators_port)
             finally:
                 for task in tasks:
                     task.cancel()
@@ -169,5 +171,5 @@
         try:
             await self.node.run()
         except exceptions.RackpostError as exc:
-            logs.say(logs.Part.CONTROL, "Replica ended.", why=str(exc))
+            logs.say(logs.Part.CONTROL, "Replica stopped.", why=str(exc))
             self.failed.set()
--- a/rackpost/control/service.py
+++ b/rackpost/control/service.py
@@ -1,4 +1,4 @@
-"""What a control replica serves to entries and agents over their links."""
+"""The service of a control replica to entries and agents."""
 
 import asyncio
 from typing import Coroutine
@@ -12,15 +12,15 @@
 from rackpost.state import commands
 from rackpost.state import machine
 
-# Watchers are told this often that the replica is in touch.
+# The interval of `Alive` messages to watchers.
 ALIVE_S = 1.0
-# A process that no replica has heard of for this long is removed.
+# A member without a status at any replica for this long is removed.
 MEMBER_LEASE_S = 10.0
 _MAX_OPEN_REQUESTS = 256
 
 
 class _ClientLink:
-    """The link to one process."""
+    """The link to one process, and its open requests."""
 
     def __init__(self, *, conn: channel.Channel) -> None:
         self.conn = conn
@@ -29,7 +29,7 @@
 
 
 class Service:
-    """Feeds watchers, appends what processes ask, and keeps members."""
+    """Sends changes to watchers, commits commands and removes lost members."""
 
     def __init__(
         self,
@@ -80,8 +80,7 @@
         session.conn.send(messages.Answer(number=msg.number, result=result))
 
     async def _watch(self, session: _ClientLink, msg: messages.Watch) -> None:
-        # A replica that is behind must not tell a process, which may have
-        # heard of a newer revision before, that its state is the latest.
+        # The process may know a newer revision than a replica that is behind.
         if not await self._node.confirm_read():
             session.conn.close()
             return
@@ -93,7 +92,7 @@
         session.watching = True
 
     def _public_image(self) -> machine.Image:
-        # Watchers need neither the claims nor what is kept for resends.
+        # Watchers do not need claims, results or history.
         return msgspec.structs.replace(
             self._node.machine.image(), claims=[], results=[], history=[]
         )
@@ -106,7 +105,7 @@
         self._send_to_watchers(msg)
 
     def _send_to_watchers(self, msg: msgspec.Struct) -> None:
-        """Tell all that watch; a link may end as it is told too much."""
+        """Send to all watchers; a link with a full queue may close."""
         for session in list(self._sessions):
             if session.watching:
                 session.conn.send(msg)
@@ -117,7 +116,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def run(self) -> None:
-        """Feed watchers and keep members until cancelled."""
+        """Serve watchers and remove lost members until cancelled."""
         with self._node.watched(self._feed):
             while True:
                 await asyncio.sleep(ALIVE_S)
@@ -126,7 +125,7 @@
 
     def _send_alive(self) -> None:
         if not self._node.in_quorum_contact():
-            # Cut off: whoever is fed here must find another replica.
+            # Clients must find a replica that is in contact with a quorum.
             for session in list(self._sessions):
                 session.conn.close()
             return
@@ -141,7 +140,7 @@
         if self._leader_since is None:
             self._leader_since = now
         if now - self._leader_since < MEMBER_LEASE_S:
-            # A new leader has not yet been told who was heard.
+            # Status reports reach a new leader only after some time.
             return
         for member in list(self._node.machine.members.values()):
             seen = self._node.seen.get(member.name)
