--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""What may not be repeated runs at most once, whoever dies."""
+"""Requests that may run once run at most once, whatever process dies."""
 
 import asyncio
 import collections
@@ -28,14 +28,14 @@
         first = driver.ask("a", repeat=ONCE, claim="deed")
         given = await driver.take(entry, first)
         assert given.whole
-        # It is given the held answer, also by another entry.
+        # A resend gets the kept answer, also from another entry.
         again = driver.ask("a2", repeat=ONCE, claim="deed")
         got = await driver.take(second, again)
         assert got.pieces == given.pieces
         assert got.end.outcome is OUT.ANSWERED
         assert sum(site.ledger.runs.values()) == 1
         assert len(site.ledger.prefilled) == 1
-        # Once it is no longer held, the caller is told that it was given.
+        # Once the answer is dropped, a resend is refused as answered.
         for node in site.nodes.values():
             node.agent._answers._held.clear()
         late = driver.ask("a3", repeat=ONCE, claim="deed")
@@ -87,7 +87,7 @@
         got = await driver.take(
             second, driver.ask("a2", repeat=ONCE, claim="deed")
         )
-        # Not claim-running: the agent knows that it is over, for good.
+        # Not claim-running: the agent knows that the attempt has ended.
         assert got.end.outcome is OUT.UNKNOWN
         assert got.end.reason is types.Refusal.CLAIM_UNKNOWN
         assert sum(site.ledger.runs.values()) == 1
@@ -135,7 +135,7 @@
 
 
 def _storm(seed: int) -> None:
-    """Callers resend while entries, agents and engines die at random."""
+    """Resend requests while entries, agents and engines die at random."""
 
     async def main() -> None:
         rng = random.Random(seed)
@@ -188,8 +188,8 @@
         for name, count in site.ledger.runs.items():
             runs[name.split(".")[0]] += count
         assert max(runs.values()) == 1
-        # Every sending has a prompt of its own: a second answer to a key
-        # would differ from the held one.
+        # Each attempt has its own prompt, so a second answer to a key would
+        # differ from the first.
         assert sum(len(texts) for texts in given.values()) > 10
         for texts in given.values():
             assert len(texts) == 1
@@ -208,8 +208,8 @@
         _storm(seed)
 
 
-def filing(name: str) -> request.Request:
-    """A deed: a plain call that may run once."""
+def once_call(name: str) -> request.Request:
+    """Return a plain call that may run once."""
     return msgspec.structs.replace(
         driver.call(name, b"deed"),
         terms=terms.Terms(repeat=ONCE, max_open=100),
@@ -218,19 +218,19 @@
 
 
 def test_a_deed_that_never_reached_its_service_is_filed_at_another() -> None:
-    # Bug: whatever had been sent to an agent counted as handed over, so a
-    # deed was given up as unknown though its agent had sealed it unrun.
+    # Guards against reporting a call as unknown though its agent sealed it
+    # before it ran.
     async def main() -> None:
         site = driver.small_site(plains=3, claims=claims.LocalClaims())
         await asyncio.sleep(0.1)
         entry = site.entries[0]
         for name in ("p0", "p1"):
             site.nodes[name].engine.dead = True  # type: ignore
-        got = await driver.take(entry, filing("x"))
+        got = await driver.take(entry, once_call("x"))
         assert got.whole
         assert sum(site.ledger.runs.values()) == 1
         site.nodes["p2"].engine.dead = True  # type: ignore
-        got = await driver.take(entry, filing("y"))
+        got = await driver.take(entry, once_call("y"))
         assert got.end.outcome is OUT.NOT_RUN
         assert sum(site.ledger.runs.values()) == 1
         site.close()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Control replicas: nothing accepted is lost, nothing goes back."""
+"""Control replicas lose no accepted change and never go back."""
 
 import asyncio
 
@@ -31,7 +31,7 @@
 async def ask(
     group: cluster.Cluster, cmd: commands.AnyCommand
 ) -> commands.Result:
-    """Ask as an operator does: again, until there is an answer."""
+    """Commit a command as an operator does, with retries until a result."""
     while True:
         for item in list(group.up.values()):
             result = await item.node.commit(cmd)
@@ -127,7 +127,7 @@
         node = group.up[behind].node
         assert await node.confirm_read()
         assert len(node.machine.tree.nodes) == 350
-        # A resend of an old operation is known from the snapshot.
+        # The snapshot holds the results of old operations.
         again = await ask(group, write("op7", path="n7"))
         assert isinstance(again, commands.Accepted)
         assert again.revision == 8
@@ -242,7 +242,7 @@
         client = group.client("e1")
         running = asyncio.create_task(client.run())
         await asyncio.sleep(0.5)
-        # Its feed is lost: only a peer tells it of the change.
+        # Without a feed, the client learns of the change from a peer only.
         group.up[leader].service._sessions.clear()
         for item in group.up.values():
             item.service._feed = lambda changes: None  # type: ignore
@@ -254,7 +254,7 @@
         assert client.behind(result.revision)
         await asyncio.sleep(0.2)
         assert client.in_force.revision == result.revision
-        # What is older, fed late, is not applied.
+        # An older state that arrives late is not applied.
         image = group.up[leader].node.machine.image()
         assert client.in_force.take_whole(image)
         await ask(group, write("b", based_on=1))
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -1,4 +1,4 @@
-"""A process's link to control: what it asks while it is behind."""
+"""The requests of a client of control that is behind."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class Replica:
-    """A control replica that answers when it is told to."""
+    """A control replica whose answers are sent by the test."""
 
     def __init__(self) -> None:
         self.watches: list[messages.Watch] = []
@@ -33,10 +33,9 @@
 
 
 def test_a_process_that_is_behind_asks_once_until_it_is_answered() -> None:
-    """Each report of a peer that was ahead had the same sent once more.
+    """Reports from peers that are ahead must not multiply the requests.
 
-    Like the documents of gateways: what takes long to come was asked for
-    again and again meanwhile, and each answer made the next one later.
+    Otherwise a slow answer is requested many times, which slows it further.
     """
 
     async def main() -> None:
@@ -61,7 +60,7 @@
         assert client.behind(types.Revision(7))
         await asyncio.sleep(0.01)
         assert len(replica.watches) == 2
-        # A new link knows nothing of what was asked over the last one.
+        # A request on a closed link is repeated on the next.
         replica.conn.close()
         await asyncio.sleep(1.0)
         assert len(replica.watches) == 3
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The checker of histories finds wrong ones; runs leave none."""
+"""The history checker finds faults, and runs with failures have none."""
 
 from lab import history
 from lab import linear
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -1,4 +1,4 @@
-"""Bad bytes from callers, peers and operators: refused, never held."""
+"""Malformed input from callers, peers and operators is refused."""
 
 import cbor2
 import hypothesis
--- a/tests/test_large_records.py
+++ b/tests/test_large_records.py
@@ -1,10 +1,7 @@
 """Large records of the log reach replicas that are far behind.
 
-A routing document is one record.  A leader sent a replica that had missed
-some all of them in one frame, whatever their size.  A log holds some 8 MB
-before it is compacted, which is as much as a link takes in one frame; one
-that is larger ends the link, and would be sent again over the next.
-Found by reading, after gateways had met the same with whole documents.
+Guards against one message with all missed records, which can exceed the
+frame limit of a link and close it again and again.
 """
 
 import random
@@ -20,7 +17,7 @@
 
 
 def log(records: int) -> log_mod.Log:
-    """A log of large records."""
+    """Return a log of large records."""
     found = log_mod.Log(
         m.Snapshot(index=m.Index(0), term=m.Term(0), config=CONFIG)
     )
@@ -76,7 +73,7 @@
 
 
 def compacted(records: int) -> raft.Replica:
-    """A leader whose log is a snapshot, and its term's first record."""
+    """Return a leader with a compacted log."""
     found = replica(ME, records)
     found.tick(10.0)
     for peer in (OTHER, THIRD):
@@ -101,7 +98,7 @@
 
 
 def test_a_snapshot_that_takes_long_is_not_sent_again_and_again() -> None:
-    """A replica on a slow link was sent a copy every 0.6 s."""
+    """Guards against copies of a snapshot that pile up on a slow link."""
     leader = compacted(40)
     assert leader.role is raft.Role.LEADER
     behind = m.AppendReply(
@@ -127,7 +124,7 @@
         installs += sum(isinstance(msg, m.Install) for msg in sends)
         heartbeats += any(isinstance(msg, m.Append) for msg in sends)
     assert 1 <= installs <= 5
-    # Meanwhile it hears that there is a leader, and asks for no votes.
+    # Heartbeats go on meanwhile, so that the replica starts no election.
     assert heartbeats > 80
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Which coordinators vote, and on how many disks a record must be."""
+"""The choice of voters, and the voters that must store a record."""
 
 import random
 
@@ -23,12 +23,13 @@
     config = m.Config(
         voters=ids(*voters.split()), learners=ids(*learners.split())
     )
-    quiet = ids(*silent.split())
+    silent_ids = ids(*silent.split())
     return membership.ClusterView(
         me=config.voters[0],
         config=config,
         silence_s={
-            peer: 9.0 if peer in quiet else 0.1 for peer in config.everyone
+            peer: 9.0 if peer in silent_ids else 0.1
+            for peer in config.everyone
         },
         caught_up=frozenset(config.learners) - frozenset(ids(*behind.split())),
         joining=ids(*joining.split()),
@@ -104,24 +105,24 @@
 
 
 def test_what_was_committed_before_a_restart_is_applied_at_once() -> None:
-    """And no more than that: what follows may still be cut off."""
+    """Later records are not applied, as they may still be removed."""
     out = _replica(3, ("a", "b", "c"), records=3, committed=2).take_output()
     assert [entry.index for entry in out.committed] == [1, 2]
 
 
-# The longest that a replica waits that has just linked to a quorum, in
-# seconds; by its election time alone it would wait up to 1.2 s.
-_SOON_S = 0.25
+# Upper bound of the first election's delay after links to a quorum are up.
+# The ordinary election timeout is up to 1.2 s.
+_MAX_DELAY_S = 0.25
 
 
 def test_after_a_start_votes_are_asked_for_once_a_quorum_is_linked() -> None:
     names = ("a", "b", "c", "d", "e")
     new = _replica(3, names)
     new.linked(ids("b"), 0.1)
-    new.tick(0.1 + _SOON_S)
+    new.tick(0.1 + _MAX_DELAY_S)
     assert new.role is raft.Role.FOLLOWER
     new.linked(ids("b", "c"), 0.3)
-    new.tick(0.3 + _SOON_S)
+    new.tick(0.3 + _MAX_DELAY_S)
     assert new.role is raft.Role.CANDIDATE
 
 
@@ -138,7 +139,7 @@
     )
     new.receive(append, 0.1)
     new.linked(ids("b", "c"), 0.1)
-    new.tick(0.1 + _SOON_S)
+    new.tick(0.1 + _MAX_DELAY_S)
     assert new.role is raft.Role.FOLLOWER
 
 
@@ -167,7 +168,7 @@
 
 
 def test_a_record_is_committed_on_more_disks_than_may_be_lost() -> None:
-    """With three voters a quorum of two may lose its disks at once."""
+    """Two of three voters are a quorum, but may lose both disks at once."""
     leader = _leader(3, ("a", "b", "c"))
     index = leader.propose(b"x", 10.0)
     _acknowledge(leader, "b")
@@ -194,7 +195,7 @@
 
 
 def test_a_leader_that_was_suspended_leads_no_more_at_its_first_look() -> None:
-    """Its clock has gone on; it has heard nothing that came meanwhile."""
+    """Its clock has advanced while replies are still unread."""
     leader = _leader(2, ("a", "b", "c"))
     assert leader.role is raft.Role.LEADER
     leader.tick(17.0)
--- a/tests/test_one_bad_item.py
+++ b/tests/test_one_bad_item.py
@@ -1,9 +1,7 @@
-"""One item that a process can't take must not end each one that takes it.
+"""One item that can't be handled must not stop every process that gets it.
 
-The same class as a request that ends endpoint after endpoint, in our own
-processes: a record of the log that no replica can apply, a message that no
-gateway can take and that each new link brings again, a lasting task that
-ends by one fault and leaves a process behind that does nothing.
+The items: a record of the log that no replica can apply, a message that no
+gateway can handle, and an exception in a background task.
 """
 
 import asyncio
@@ -24,17 +22,17 @@
 from tests import platform_site
 
 _SECURITY = websocket.Security(key=b"test")
-_MOST_S = 10.0
+_TIMEOUT_S = 10.0
 
 
 class _Fault(Exception):
-    """What nobody foresaw."""
+    """An unexpected exception."""
 
 
 def test_a_record_that_can_not_be_applied_is_left_out_by_all_alike(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each replica would meet it again after each restart."""
+    """Otherwise each replica would fail again after each restart."""
 
     def fails(self: machine.Machine) -> commands.Result:
         raise _Fault("in the middle")
@@ -44,7 +42,7 @@
     async def main() -> None:
         group = cluster.Cluster(names=("a", "b", "c"), seed=1)
         leader = group.up[await group.await_leader()].node
-        async with asyncio.timeout(_MOST_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             got = await leader.commit(commands.TakeFence(holder="a"))
             assert isinstance(got, commands.Rejected)
             good = commands.SetRouting(version=3, source=b"{}")
@@ -58,15 +56,15 @@
 
 
 def test_a_message_that_can_not_be_taken_does_not_end_its_link() -> None:
-    """The next link would bring it again, to every gateway."""
+    """Otherwise the message is sent again on the next link, and so on."""
 
     async def main() -> None:
-        taken: list[msgspec.Struct] = []
+        received: list[msgspec.Struct] = []
         done = asyncio.Event()
 
         def receive(msg: msgspec.Struct) -> None:
-            taken.append(msg)
-            if len(taken) == 1:
+            received.append(msg)
+            if len(received) == 1:
                 raise _Fault("can't be taken")
             done.set()
 
@@ -90,7 +88,7 @@
             ) as conn:
                 conn.send(control.ReplicaHello(replica="one"))
                 conn.send(control.ReplicaHello(replica="two"))
-                async with asyncio.timeout(_MOST_S):
+                async with asyncio.timeout(_TIMEOUT_S):
                     await done.wait()
 
     asyncio.run(main())
@@ -99,22 +97,22 @@
 def test_a_lasting_task_begins_again_after_a_fault_and_says_so(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    said: list[str] = []
+    logged: list[str] = []
     monkeypatch.setattr(
-        logs, "say", lambda part, text, **fields: said.append(text)
+        logs, "say", lambda part, text, **fields: logged.append(text)
     )
 
     async def main() -> None:
         tasks = background.Tasks(part=logs.Part.GATEWAY)
         runs = 0
-        again = asyncio.Event()
+        restarted = asyncio.Event()
 
         async def lasting() -> None:
             nonlocal runs
             runs += 1
             if runs == 1:
                 raise _Fault("once")
-            again.set()
+            restarted.set()
             await asyncio.Event().wait()
 
         async def single() -> None:
@@ -122,16 +120,16 @@
 
         tasks.keep(lasting)
         tasks.spawn(single())
-        async with asyncio.timeout(_MOST_S):
-            await again.wait()
+        async with asyncio.timeout(_TIMEOUT_S):
+            await restarted.wait()
         await tasks.close()
 
     asyncio.run(main())
-    assert sorted(said) == ["A task began again.", "A task failed."]
+    assert sorted(logged) == ["A task began again.", "A task failed."]
 
 
 def test_a_coordinator_whose_replica_fails_ends_itself() -> None:
-    """It would answer, and neither vote nor apply anything."""
+    """Otherwise it would answer but neither vote nor apply records."""
 
     async def main() -> None:
         tasks = background.Tasks(part=logs.Part.COORDINATOR)
@@ -140,7 +138,7 @@
             raise exceptions.StorageError("what it holds is not known")
 
         tasks.spawn(replica(), vital=True)
-        async with asyncio.timeout(_MOST_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             await tasks.vital_failed.wait()
         await tasks.close()
 
@@ -148,14 +146,14 @@
 
 
 class _FullLink:
-    """A link that ends as it is told, since too much waits for its peer."""
+    """A link that closes on a send, as its queue is full."""
 
     def __init__(self, *, ended: Callable[["_FullLink"], None]) -> None:
         self._ended = ended
-        self.told: list[msgspec.Struct] = []
+        self.sent: list[msgspec.Struct] = []
 
     def send(self, msg: msgspec.Struct) -> None:
-        self.told.append(msg)
+        self.sent.append(msg)
         self._ended(self)
 
 
@@ -164,12 +162,12 @@
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            found = site.gateway._links
+            links = site.gateway._links
             linked: set = set()
             full = [_FullLink(ended=linked.discard) for _ in range(4)]
             linked.update(full)
-            found._linked = linked
-            found.tell_demands()
-            assert all(len(one.told) == 1 for one in full)
+            links._linked = linked
+            links.tell_demands()
+            assert all(len(link.sent) == 1 for link in full)
 
     asyncio.run(main())
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""What lies on the disk: torn ends are cut, damage is refused."""
+"""The storage of a replica cuts off torn frames and refuses damage."""
 
 import asyncio
 import errno
@@ -55,8 +55,8 @@
     assert found.torn_bytes == 0
 
 
-def note(folder: pathlib.Path, index: int, term: int) -> None:
-    """Keep a commit mark in a folder."""
+def write_mark(folder: pathlib.Path, index: int, term: int) -> None:
+    """Write a commit mark to a folder."""
     mark = storage.CommitMark(index=m.Index(index), term=m.Term(term))
     disk = storage.FileDisk(folder=folder)
     asyncio.run(disk.record_committed(mark))
@@ -67,7 +67,7 @@
 ) -> None:
     fill(tmp_path, 5)
     assert load(tmp_path).committed == 0
-    note(tmp_path, 3, 1)
+    write_mark(tmp_path, 3, 1)
     assert load(tmp_path).committed == 3
 
 
@@ -76,7 +76,7 @@
 ) -> None:
     fill(tmp_path, 2)
     for index, term in ((3, 1), (2, 2)):
-        note(tmp_path, index, term)
+        write_mark(tmp_path, index, term)
         assert load(tmp_path).committed == 0
     path = tmp_path / "committed"
     path.write_bytes(path.read_bytes()[:-1])
@@ -167,7 +167,7 @@
 def test_a_write_that_failed_in_part_is_cut_off_before_the_next(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """On a full disk half a frame stood before good ones: damage."""
+    """On a full disk, a partial frame must not remain before good ones."""
     storage.create(tmp_path, replica=m.ReplicaId("c0"), config=CONFIG)
     disk = storage.FileDisk(folder=tmp_path)
     disk.load()
@@ -206,12 +206,12 @@
     snapshot = m.Snapshot(index=m.Index(2), term=m.Term(1), config=CONFIG)
     hard = m.HardState(term=m.Term(1))
     sync = os.fsync
-    left = [1]
+    allowed_syncs = [1]
 
     def failing(handle: int) -> None:
-        # The snapshot is written, the log behind it is not.
-        left[0] -= 1
-        if left[0] < 0:
+        # Fails once `allowed_syncs` is used up.
+        allowed_syncs[0] -= 1
+        if allowed_syncs[0] < 0:
             raise OSError(errno.ENOSPC, "no space left on device")
         sync(handle)
 
@@ -220,7 +220,7 @@
             await disk.save(one_record(index))
         monkeypatch.setattr(os, "fsync", failing)
         for allowed in (0, 1, 2, 3):
-            left[0] = allowed
+            allowed_syncs[0] = allowed
             with pytest.raises(OSError):
                 await disk.compact(snapshot, hard, log)
             assert not list(tmp_path.glob("*.part"))
@@ -241,7 +241,7 @@
     disk, _ = coordinator_disk.open_disk(
         tmp_path, host="h", first_hosts=("h",)
     )
-    patient = coordinator_disk.RetryingDisk(disk=disk)
+    retrying = coordinator_disk.RetryingDisk(disk=disk)
     sync = os.fdatasync
     failures = [3]
 
@@ -253,7 +253,7 @@
 
     async def main() -> None:
         monkeypatch.setattr(os, "fdatasync", failing)
-        await patient.save(one_record(1))
+        await retrying.save(one_record(1))
 
     asyncio.run(main())
     disk.close()
