--- a/rackpost/control/client.py
+++ b/rackpost/control/client.py
@@ -1,4 +1,4 @@
-"""A process's link to control: what is in force, and what it asks."""
+"""A process's client of control: the state in force, and requests."""
 
 import asyncio
 import contextlib
@@ -17,11 +17,11 @@
 from rackpost import types
 
 STATUS_S = 2.0
-# A replica that says nothing for this long is left for another.
+# After this long without a message the client tries another replica.
 _SILENT_S = 3.0
-_ANSWER_S = 1.0
+_ANSWER_TIMEOUT_S = 1.0
 _FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 1.0
+_MAX_PAUSE_S = 1.0
 
 Connect = Callable[[str], AsyncContextManager[channel.Channel]]
 Changed = Callable[[], None]
@@ -29,7 +29,7 @@
 
 
 class InForce:
-    """The state that a process runs on: it only ever moves forward."""
+    """The state that a process runs on; its revision never decreases."""
 
     def __init__(self) -> None:
         self.revision = types.Revision(0)
@@ -38,7 +38,7 @@
         self.fences: dict[str, types.Fence] = {}
 
     def take_whole(self, image: machine.Image) -> bool:
-        """Take a whole state; False, and nothing done, if it is older."""
+        """Replace the state by an image; return False if that is older."""
         if image.revision < self.revision:
             return False
         self.tree = tree_mod.Tree()
@@ -51,7 +51,7 @@
         return True
 
     def take(self, change: machine.Change) -> bool:
-        """Take the next change; False if it is not the next one."""
+        """Apply a change; return False if an earlier one is missing."""
         if change.revision <= self.revision:
             return True
         if change.revision != self.revision + 1:
@@ -63,11 +63,11 @@
             if change.event is not None:
                 self.tree.events[change.event_name] = change.event
         if change.member_name is not None:
-            self._take_member(change.member_name, change)
+            self._apply_member(change.member_name, change)
         self.revision = change.revision
         return True
 
-    def _take_member(self, name: str, change: machine.Change) -> None:
+    def _apply_member(self, name: str, change: machine.Change) -> None:
         if change.member is None:
             self.members.pop(name, None)
             self.fences.pop(name, None)
@@ -77,10 +77,10 @@
 
 
 class ControlClient:
-    """Keeps one process in touch with one of the control replicas.
+    """Keeps one process linked to one of the control replicas.
 
-    `changed` is told whenever a newer state is in force, `ordered` of
-    each order.  Before the first state has come, `ready` is not set.
+    `changed` is called whenever a newer state is in force, and `ordered` for
+    each order.  `ready` is set once the first state has arrived.
     """
 
     def __init__(
@@ -108,27 +108,27 @@
         self._loop = asyncio.get_running_loop()
         self._conn: channel.Channel | None = None
         self._ended = asyncio.Event()
-        self._heard_at = 0.0
-        # A `Watch` was sent over this link that has had no answer.
-        self._watching = False
+        self._last_message_at = 0.0
+        # A `Watch` on this link is unanswered.
+        self._watch_pending = False
         self._number = 0
-        self._asked: dict[int, asyncio.Future[commands.Result | None]] = {}
+        self._requested: dict[int, asyncio.Future[commands.Result | None]] = {}
         rng.shuffle(self._addresses)
 
     async def run(self) -> None:
-        """Stay in touch with some replica until cancelled."""
+        """Stay linked to some replica until cancelled."""
         pause = _FIRST_PAUSE_S
         while True:
             address = self._addresses[0]
             self._addresses.append(self._addresses.pop(0))
             with contextlib.suppress(exceptions.LinkError):
                 async with self._connect(address) as conn:
-                    began = self._heard_at
+                    before = self._last_message_at
                     await self._serve(conn)
-                    if self._heard_at > began:
+                    if self._last_message_at > before:
                         pause = _FIRST_PAUSE_S
             await asyncio.sleep(pause * (0.5 + self._rng.random()))
-            pause = min(_LONGEST_PAUSE_S, pause * 2)
+            pause = min(_MAX_PAUSE_S, pause * 2)
 
     async def _serve(self, conn: channel.Channel) -> None:
         self._ended.clear()
@@ -143,12 +143,12 @@
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(STATUS_S):
                         await self._ended.wait()
-                last = max(since, self._heard_at)
+                last = max(since, self._last_message_at)
                 if self._loop.time() - last > _SILENT_S:
                     return
         finally:
             joining.cancel()
-            self._drop_conn()
+            self._forget_link()
             conn.close()
 
     def _send_status(self, conn: channel.Channel) -> None:
@@ -161,7 +161,7 @@
         )
 
     async def _stay_joined(self) -> None:
-        # A process that was cut off for long may have been removed.
+        # A process that was cut off may have been removed from the members.
         while self._join is not None:
             if self.in_force.members.get(self._name) != self._join:
                 with contextlib.suppress(exceptions.ControlError):
@@ -169,30 +169,30 @@
             await asyncio.sleep(STATUS_S)
 
     def _on_closed(self) -> None:
-        self._drop_conn()
+        self._forget_link()
         self._ended.set()
 
-    def _drop_conn(self) -> None:
+    def _forget_link(self) -> None:
         self._conn = None
-        self._watching = False
-        asked = self._asked
-        self._asked = {}
-        for fut in asked.values():
+        self._watch_pending = False
+        pending = self._requested
+        self._requested = {}
+        for fut in pending.values():
             if not fut.done():
                 fut.set_result(None)
 
     def _on_message(self, msg: msgspec.Struct) -> None:
-        self._heard_at = self._loop.time()
+        self._last_message_at = self._loop.time()
         if isinstance(msg, messages.Answer):
-            fut = self._asked.pop(msg.number, None)
+            fut = self._requested.pop(msg.number, None)
             if fut is not None and not fut.done():
                 fut.set_result(msg.result)
         elif isinstance(msg, messages.Whole):
-            self._watching = False
+            self._watch_pending = False
             if self.in_force.take_whole(msg.image):
-                self._is_in_force()
+                self._notify_changed()
         elif isinstance(msg, messages.Feed):
-            self._watching = False
+            self._watch_pending = False
             self._on_feed(msg)
         elif isinstance(msg, messages.Alive):
             self._on_alive(msg)
@@ -204,53 +204,53 @@
                 return
             if change.order is not None:
                 self._ordered(change)
-        self._is_in_force()
+        self._notify_changed()
 
     def _on_alive(self, msg: messages.Alive) -> None:
         if msg.revision > self.in_force.revision:
             self._fetch()
 
     def behind(self, revision: types.Revision) -> bool:
-        """Whether a peer runs on a newer state; fetches it if so."""
+        """Whether a peer runs on a newer state; if so, fetch it."""
         if revision <= self.in_force.revision:
             return False
         self._fetch()
         return True
 
     def _fetch(self) -> None:
-        """Ask for what is newer, unless that is on its way.
+        """Request newer state, unless a request is unanswered.
 
-        Peers tell of newer states many times a second; an answer that
-        takes long must not be joined by copies of it.
+        Peers report newer revisions many times a second, and each answer may
+        be large.
         """
-        if self._conn is None or self._watching:
+        if self._conn is None or self._watch_pending:
             return
-        self._watching = True
+        self._watch_pending = True
         self._conn.send(
             messages.Watch(name=self._name, revision=self.in_force.revision)
         )
 
-    def _is_in_force(self) -> None:
+    def _notify_changed(self) -> None:
         self.ready.set()
         self._changed()
 
     async def ask(self, cmd: commands.AnyCommand) -> commands.Result:
-        """Have a command committed; ControlError if that is not known."""
+        """Commit a command; raises ControlError if its result is unknown."""
         if self._conn is None:
             raise exceptions.ControlError("no control replica is linked")
         self._number += 1
         number = self._number
         fut: asyncio.Future[commands.Result | None]
         fut = self._loop.create_future()
-        self._asked[number] = fut
+        self._requested[number] = fut
         self._conn.send(messages.CommandRequest(number=number, command=cmd))
         try:
-            async with asyncio.timeout(_ANSWER_S):
+            async with asyncio.timeout(_ANSWER_TIMEOUT_S):
                 result = await fut
         except TimeoutError:
             result = None
         finally:
-            self._asked.pop(number, None)
+            self._requested.pop(number, None)
         if result is None:
             raise exceptions.ControlError("control gave no answer in time")
         return result
--- a/rackpost/control/node.py
+++ b/rackpost/control/node.py
@@ -1,4 +1,4 @@
-"""A control replica: the task that owns consensus, disk and state."""
+"""A control replica: consensus, its disk and the state machine."""
 
 import asyncio
 import contextlib
@@ -24,14 +24,14 @@
 T = TypeVar("T")
 
 _TICK_S = 0.05
-# The log is compacted when it holds this many records.
+# Records in the log at which it is compacted.
 COMPACT_AT = 4096
-# It is also compacted when its commands hold this much, in bytes: with the
-# snapshot and its copy that stays far below the smallest disk (128 MB).
+# Bytes of commands in the log at which it is compacted.  Keeps the log, the
+# snapshot and its copy well below the smallest disk (128 MB).
 COMPACT_BYTES = 8 << 20
-# How long a command or a confirmed read may take before it is given up.
-_PATIENCE_S = 3.0
-_HEARD_EVERY_S = 1.0
+# The time limit of a command or a confirmed read.
+_TIMEOUT_S = 3.0
+_REPORT_INTERVAL_S = 1.0
 
 _COMMANDS = codec.Decoder(kinds=commands.AnyCommand)
 _IMAGES = codec.Decoder(kinds=machine.Image)
@@ -50,8 +50,8 @@
 class Node:
     """One replica.
 
-    All its state is touched by its own event loop only; what must be on
-    the disk is synced before anything that depends on it is sent.
+    Only its event loop changes its state.  Changes are synced to the disk
+    before any message that depends on them is sent.
     """
 
     def __init__(
@@ -69,8 +69,8 @@
         self.seen: dict[str, tuple[messages.Status, float]] = {}
         self._disk = disk
         self._compact_at = compact_at
-        self._fresh: dict[str, messages.Status] = {}
-        self._heard_sent = 0.0
+        self._unreported: dict[str, messages.Status] = {}
+        self._report_sent_at = 0.0
         snapshot = loaded.log.snapshot
         if snapshot.data:
             self.machine.restore(_IMAGES.decode(snapshot.data))
@@ -83,22 +83,22 @@
             copies=copies,
             committed=loaded.committed,
         )
-        # What the state machine holds; consensus itself may be ahead while
-        # an output is being synced.
+        # The last record that the state machine has applied; consensus is
+        # ahead while an output is being synced.
         self._applied = loaded.log.snapshot.index
         self._peers: dict[consensus.ReplicaId, channel.Channel] = {}
         self._wake = asyncio.Event()
-        # What is known to be committed is applied at once.
+        # Records already known to be committed are applied at once.
         self._wake.set()
         self._number = 0
-        self._asked: dict[int, asyncio.Future[commands.Result | None]] = {}
-        self._at_index: dict[int, asyncio.Future[commands.Result | None]] = {}
+        self._forwarded: dict[int, asyncio.Future[commands.Result | None]] = {}
+        self._proposed: dict[int, asyncio.Future[commands.Result | None]] = {}
         self._reads: dict[int, asyncio.Future[consensus.Index | None]] = {}
         self._applied_waiters: list[tuple[int, asyncio.Future[None]]] = []
         self._watchers: set[Watcher] = set()
         # Bytes of commands in the log since its last snapshot.
         self._log_bytes = 0
-        # Takes the messages of other replicas that are not about the log.
+        # Called for other replicas' messages that are not about the log.
         self.on_other_message: Callable[
             [consensus.ReplicaId, msgspec.Struct], None
         ] = lambda peer, msg: None
@@ -107,7 +107,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads, as far as it knows."""
+        """Whether this replica is the leader, as far as it knows."""
         return self._raft.role is raft.Role.LEADER
 
     @property
@@ -117,32 +117,32 @@
 
     @property
     def config(self) -> consensus.Config:
-        """The replicas of the site."""
+        """The voters and learners of the site."""
         return self._raft.config
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         return self._raft.term
 
     @property
     def mark(self) -> storage.CommitMark | None:
-        """The newest record that is applied here; None if there is none."""
+        """The last applied record, or None if there is none."""
         term = self._raft.log.term_at(self._applied)
         if term is None or self._applied == 0:
             return None
         return storage.CommitMark(index=self._applied, term=term)
 
     def in_quorum_contact(self) -> bool:
-        """Whether this replica was in touch with a quorum lately."""
+        """Whether this replica was recently in contact with a quorum."""
         return self._raft.in_quorum_contact(self._loop.time())
 
     def silence(self, peer: consensus.ReplicaId) -> float:
-        """Seconds since this leader last heard a replica."""
+        """Return the seconds since a replica's last reply to this leader."""
         return self._raft.silence(peer, self._loop.time())
 
     def caught_up(self, peer: consensus.ReplicaId) -> bool:
-        """Whether a replica has all that this leader has committed."""
+        """Whether a replica holds all records committed by this leader."""
         return self._raft.caught_up(peer)
 
     # Links to other replicas.
@@ -150,7 +150,7 @@
     def connect(
         self, peer: consensus.ReplicaId, conn: channel.Channel
     ) -> None:
-        """A link to another replica is up; it replaces an older one."""
+        """Use a new link to another replica in place of an older one."""
         self._peers[peer] = conn
         conn.attach(
             receive=lambda msg: self._on_message(peer, msg),
@@ -160,7 +160,7 @@
         self._raft.relinked(peer)
 
     def accept(self, peer: consensus.ReplicaId, conn: channel.Channel) -> None:
-        """Receive from a link that another replica made to send on."""
+        """Receive messages on a link that another replica opened."""
         conn.attach(
             receive=lambda msg: self._on_message(peer, msg),
             closed=lambda: None,
@@ -174,13 +174,13 @@
         del self._peers[peer]
         if peer == self.leader:
             self._raft.lost_link(peer, self._loop.time())
-            self._forget_forwarded()
+            self._abandon_forwarded()
 
-    def _forget_forwarded(self) -> None:
-        # Whether the leader took them is not known: they may be resent.
-        asked, reads = self._asked, self._reads
-        self._asked, self._reads = {}, {}
-        for fut in asked.values():
+    def _abandon_forwarded(self) -> None:
+        # The leader may or may not have received them.
+        forwarded, reads = self._forwarded, self._reads
+        self._forwarded, self._reads = {}, {}
+        for fut in forwarded.values():
             _settle(fut, None)
         for read in reads.values():
             _settle(read, None)
@@ -191,9 +191,9 @@
         if isinstance(msg, messages.Forward):
             self._on_forward(peer, msg)
         elif isinstance(msg, messages.Forwarded):
-            _settle(self._asked.pop(msg.number, None), msg.result)
-        elif isinstance(msg, messages.ReadAsk):
-            self._on_read_ask(peer, msg)
+            _settle(self._forwarded.pop(msg.number, None), msg.result)
+        elif isinstance(msg, messages.ReadRequest):
+            self._on_read_request(peer, msg)
         elif isinstance(msg, messages.ReadIndex):
             _settle(self._reads.pop(msg.number, None), msg.index)
         elif isinstance(msg, messages.StatusReport):
@@ -206,11 +206,11 @@
             self.on_other_message(peer, msg)
 
     def tell(self, peer: consensus.ReplicaId, msg: msgspec.Struct) -> None:
-        """Send a message that is not about the log; lost without a link."""
+        """Send a message that is not about the log; dropped without a link."""
         self._send(peer, msg)
 
     def tell_all(self, msg: msgspec.Struct) -> None:
-        """Send such a message to all replicas that are linked."""
+        """Send a message that is not about the log to all linked replicas."""
         for peer in list(self._peers):
             self._send(peer, msg)
 
@@ -222,10 +222,10 @@
     # Commands and reads.
 
     async def commit(self, cmd: commands.AnyCommand) -> commands.Result | None:
-        """Have a command committed; its result.
+        """Commit a command and return its result.
 
-        None if that is not known: it may have been committed or not, and
-        may be asked again under the same operation id.
+        None means that the result is unknown: the command may have been
+        committed, and may be sent again with the same operation id.
         """
         fut: asyncio.Future[commands.Result | None]
         fut = self._loop.create_future()
@@ -235,16 +235,16 @@
             self._propose(data, fut)
         elif self.leader is not None:
             number = self._next_number()
-            self._asked[number] = fut
+            self._forwarded[number] = fut
             self._send(
                 self.leader, messages.Forward(number=number, command=data)
             )
         else:
             return None
-        return await _patiently(fut)
+        return await _wait_for_result(fut)
 
     async def _wait_for_leader(self) -> None:
-        until = self._loop.time() + _PATIENCE_S
+        until = self._loop.time() + _TIMEOUT_S
         while self.leader is None and self._loop.time() < until:
             await asyncio.sleep(_TICK_S)
 
@@ -255,7 +255,7 @@
         if index is None:
             _settle(fut, None)
             return
-        self._at_index[index] = fut
+        self._proposed[index] = fut
         self._wake.set()
 
     def _on_forward(
@@ -278,16 +278,16 @@
         return self._number
 
     async def confirm_read(self) -> bool:
-        """Wait until the state here is at least as new as the question.
+        """Wait until the state includes all changes committed before the call.
 
-        False if no quorum confirms it in time.
+        Returns False if no quorum confirms that in time.
         """
-        until = self._loop.time() + _PATIENCE_S
+        until = self._loop.time() + _TIMEOUT_S
         while self._loop.time() < until:
             index = await self._read_index()
             if index is not None:
                 return await self._wait_applied(index)
-            # There is no leader, or one too new to confirm anything.
+            # There is no leader, or it is too new to confirm a read.
             await asyncio.sleep(_TICK_S)
         return False
 
@@ -297,17 +297,17 @@
         number = self._next_number()
         self._reads[number] = fut
         if self.is_leader:
-            self._read_here(number, fut)
+            self._read_as_leader(number, fut)
         elif self.leader is not None:
-            self._send(self.leader, messages.ReadAsk(number=number))
+            self._send(self.leader, messages.ReadRequest(number=number))
         else:
             del self._reads[number]
             return None
-        index = await _patiently(fut)
+        index = await _wait_for_result(fut)
         self._reads.pop(number, None)
         return index
 
-    def _read_here(
+    def _read_as_leader(
         self,
         number: int,
         fut: asyncio.Future[consensus.Index | None],
@@ -317,8 +317,8 @@
             _settle(self._reads.pop(number, None), None)
         self._wake.set()
 
-    def _on_read_ask(
-        self, peer: consensus.ReplicaId, msg: messages.ReadAsk
+    def _on_read_request(
+        self, peer: consensus.ReplicaId, msg: messages.ReadRequest
     ) -> None:
         fut: asyncio.Future[consensus.Index | None]
         fut = self._loop.create_future()
@@ -330,7 +330,7 @@
             )
 
         fut.add_done_callback(reply)
-        self._read_here(self._next_number(), fut)
+        self._read_as_leader(self._next_number(), fut)
 
     async def _wait_applied(self, index: int) -> bool:
         if self._applied >= index:
@@ -338,24 +338,24 @@
         fut: asyncio.Future[None] = self._loop.create_future()
         self._applied_waiters.append((index, fut))
         try:
-            async with asyncio.timeout(_PATIENCE_S):
+            async with asyncio.timeout(_TIMEOUT_S):
                 await fut
         except TimeoutError:
             return False
         return True
 
     def change_config(self, new: consensus.Config) -> None:
-        """Propose other replicas; ControlError says why it can't be."""
-        why = self._raft.change_config(new, self._loop.time())
+        """Propose a new config; raises ControlError if it is refused."""
+        reason = self._raft.change_config(new, self._loop.time())
         self._wake.set()
-        if why is not None:
-            raise exceptions.ControlError(why)
+        if reason is not None:
+            raise exceptions.ControlError(reason)
 
-    # Watchers and what the replica has heard of processes.
+    # Watchers and the status of processes.
 
     @contextlib.contextmanager
     def watched(self, watcher: Watcher) -> Iterator[None]:
-        """Tell `watcher` of all changes; None when the state jumps."""
+        """Call `watcher` with changes, or with None after a new snapshot."""
         self._watchers.add(watcher)
         try:
             yield
@@ -363,17 +363,17 @@
             self._watchers.discard(watcher)
 
     def record_status(self, status: messages.Status) -> None:
-        """A process has told this replica that it lives."""
+        """Record the status of a process linked to this replica."""
         self.seen[status.name] = (status, self._loop.time())
-        self._fresh[status.name] = status
+        self._unreported[status.name] = status
 
     # The task.
 
     async def run(self) -> None:
         """Run the replica until cancelled.
 
-        Raises StorageError where the disk fails: what it holds is then
-        not known, and only a restart helps.
+        Raises StorageError if the disk fails; the replica must then be
+        restarted, as the content of the disk is unknown.
         """
         while True:
             with contextlib.suppress(TimeoutError):
@@ -381,20 +381,20 @@
                     await self._wake.wait()
             self._wake.clear()
             self._raft.tick(self._loop.time())
-            await self._carry_out(self._raft.take_output())
-            self._tell_heard()
+            await self._execute(self._raft.take_output())
+            self._report_statuses()
 
-    async def _carry_out(self, out: output.Output) -> None:
+    async def _execute(self, out: output.Output) -> None:
         if out.install is not None:
             await self._install(out)
         await self._disk.save(out)
         for send in out.sends:
             self._send(send.to, send.msg)
-        if out.lost:
-            self._forget_asked()
+        if out.lost_leadership:
+            self._abandon_proposed()
         self._apply(out.committed)
-        for token, good in out.reads:
-            index = self._raft.commit if good else None
+        for token, confirmed in out.reads:
+            index = self._raft.commit if confirmed else None
             _settle(self._reads.pop(token, None), index)
         if self._is_log_long():
             await self._compact()
@@ -426,8 +426,8 @@
             result: commands.Result | None = None
             self._log_bytes += len(entry.data)
             if entry.data:
-                result = self._apply_one(entry)
-            _settle(self._at_index.pop(entry.index, None), result)
+                result = self._apply_entry(entry)
+            _settle(self._proposed.pop(entry.index, None), result)
         if self.machine.revision != before:
             changes = self.machine.changes_after(before)
             for watcher in list(self._watchers):
@@ -442,12 +442,12 @@
             item for item in self._applied_waiters if item[0] > applied
         ]
 
-    def _apply_one(self, entry: consensus.Entry) -> commands.Result:
-        """Apply a record; one that can't be applied is rejected by all alike.
+    def _apply_entry(self, entry: consensus.Entry) -> commands.Result:
+        """Apply a record; reject it if that raises an exception.
 
-        The same software finds the same fault in it, now and after each
-        restart.  One that can't be read is of a newer software, which does
-        apply it: then this replica must end, by CodecError.
+        All replicas of the same version fail alike, also after a restart.
+        Raises CodecError for a record that can't be decoded, as a newer
+        version can apply it.
         """
         cmd = _COMMANDS.decode(entry.data)
         try:
@@ -462,27 +462,30 @@
             )
             return commands.Rejected(why="it can't be applied")
 
-    def _forget_asked(self) -> None:
-        # Another leader may or may not commit them: nobody here knows.
-        asked = self._at_index
-        self._at_index = {}
-        for fut in asked.values():
+    def _abandon_proposed(self) -> None:
+        # Another leader may or may not commit them.
+        proposed = self._proposed
+        self._proposed = {}
+        for fut in proposed.values():
             _settle(fut, None)
 
-    def _tell_heard(self) -> None:
+    def _report_statuses(self) -> None:
         now = self._loop.time()
-        if now - self._heard_sent < _HEARD_EVERY_S or not self._fresh:
+        if (
+            now - self._report_sent_at < _REPORT_INTERVAL_S
+            or not self._unreported
+        ):
             return
         if self.leader is not None and not self.is_leader:
-            seen = tuple(self._fresh.values())
+            seen = tuple(self._unreported.values())
             self._send(self.leader, messages.StatusReport(seen=seen))
-        self._heard_sent = now
-        self._fresh = {}
+        self._report_sent_at = now
+        self._unreported = {}
 
 
-async def _patiently(fut: asyncio.Future[T | None]) -> T | None:
+async def _wait_for_result(fut: asyncio.Future[T | None]) -> T | None:
     try:
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             return await fut
     except TimeoutError:
         return None
--- a/rackpost/control/service.py
+++ b/rackpost/control/service.py
@@ -1,4 +1,4 @@
-"""What a control replica serves to entries and agents over their links."""
+"""The service of a control replica to entries and agents."""
 
 import asyncio
 from typing import Coroutine
@@ -12,24 +12,24 @@
 from rackpost.state import commands
 from rackpost.state import machine
 
-# Watchers are told this often that the replica is in touch.
+# The interval of `Alive` messages to watchers.
 ALIVE_S = 1.0
-# A process that no replica has heard of for this long is removed.
+# A member without a status at any replica for this long is removed.
 MEMBER_LEASE_S = 10.0
-_MAX_ASKS = 256
+_MAX_OPEN_REQUESTS = 256
 
 
-class _Session:
-    """The link to one process."""
+class _ClientLink:
+    """The link to one process, and its open requests."""
 
     def __init__(self, *, conn: channel.Channel) -> None:
         self.conn = conn
         self.watching = False
-        self.asks = 0
+        self.open_requests = 0
 
 
 class Service:
-    """Feeds watchers, appends what processes ask, and keeps members."""
+    """Sends changes to watchers, commits commands and removes lost members."""
 
     def __init__(
         self,
@@ -40,46 +40,47 @@
         self._node = node
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
-        self._sessions: set[_Session] = set()
+        self._sessions: set[_ClientLink] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._leads_since: float | None = None
+        self._leader_since: float | None = None
 
     def connect(self, conn: channel.Channel) -> None:
         """Serve a process over a new link."""
-        session = _Session(conn=conn)
+        session = _ClientLink(conn=conn)
         self._sessions.add(session)
         conn.attach(
             receive=lambda msg: self._on_message(session, msg),
             closed=lambda: self._sessions.discard(session),
         )
 
-    def _on_message(self, session: _Session, msg: msgspec.Struct) -> None:
+    def _on_message(self, session: _ClientLink, msg: msgspec.Struct) -> None:
         if isinstance(msg, messages.Status):
             self._node.record_status(msg)
         elif isinstance(msg, messages.Watch):
             self._spawn(self._watch(session, msg))
         elif isinstance(msg, messages.CommandRequest):
-            self._on_ask(session, msg)
+            self._on_command_request(session, msg)
 
-    def _on_ask(self, session: _Session, msg: messages.CommandRequest) -> None:
-        if session.asks >= _MAX_ASKS:
+    def _on_command_request(
+        self, session: _ClientLink, msg: messages.CommandRequest
+    ) -> None:
+        if session.open_requests >= _MAX_OPEN_REQUESTS:
             session.conn.send(messages.Answer(number=msg.number, result=None))
             return
-        session.asks += 1
-        self._spawn(self._ask(session, msg))
+        session.open_requests += 1
+        self._spawn(self._commit(session, msg))
 
-    async def _ask(
-        self, session: _Session, msg: messages.CommandRequest
+    async def _commit(
+        self, session: _ClientLink, msg: messages.CommandRequest
     ) -> None:
         try:
             result = await self._node.commit(msg.command)
         finally:
-            session.asks -= 1
+            session.open_requests -= 1
         session.conn.send(messages.Answer(number=msg.number, result=result))
 
-    async def _watch(self, session: _Session, msg: messages.Watch) -> None:
-        # A replica that is behind must not tell a process, which may have
-        # heard of a newer revision before, that its state is the latest.
+    async def _watch(self, session: _ClientLink, msg: messages.Watch) -> None:
+        # The process may know a newer revision than a replica that is behind.
         if not await self._node.confirm_read():
             session.conn.close()
             return
@@ -91,7 +92,7 @@
         session.watching = True
 
     def _public_image(self) -> machine.Image:
-        # Watchers need neither the claims nor what is kept for resends.
+        # Watchers do not need claims, results or history.
         return msgspec.structs.replace(
             self._node.machine.image(), claims=[], results=[], history=[]
         )
@@ -101,10 +102,10 @@
             msg: msgspec.Struct = messages.Whole(image=self._public_image())
         else:
             msg = messages.Feed(changes=tuple(changes))
-        self._tell_watching(msg)
+        self._send_to_watchers(msg)
 
-    def _tell_watching(self, msg: msgspec.Struct) -> None:
-        """Tell all that watch; a link may end as it is told too much."""
+    def _send_to_watchers(self, msg: msgspec.Struct) -> None:
+        """Send to all watchers; a link with a full queue may close."""
         for session in list(self._sessions):
             if session.watching:
                 session.conn.send(msg)
@@ -115,31 +116,31 @@
         task.add_done_callback(self._tasks.discard)
 
     async def run(self) -> None:
-        """Feed watchers and keep members until cancelled."""
+        """Serve watchers and remove lost members until cancelled."""
         with self._node.watched(self._feed):
             while True:
                 await asyncio.sleep(ALIVE_S)
-                self._say_alive()
+                self._send_alive()
                 await self._remove_silent()
 
-    def _say_alive(self) -> None:
+    def _send_alive(self) -> None:
         if not self._node.in_quorum_contact():
-            # Cut off: whoever is fed here must find another replica.
+            # Clients must find a replica that is in contact with a quorum.
             for session in list(self._sessions):
                 session.conn.close()
             return
         msg = messages.Alive(revision=self._node.machine.revision)
-        self._tell_watching(msg)
+        self._send_to_watchers(msg)
 
     async def _remove_silent(self) -> None:
         now = self._loop.time()
         if not self._node.is_leader:
-            self._leads_since = None
+            self._leader_since = None
             return
-        if self._leads_since is None:
-            self._leads_since = now
-        if now - self._leads_since < MEMBER_LEASE_S:
-            # A new leader has not yet been told who was heard.
+        if self._leader_since is None:
+            self._leader_since = now
+        if now - self._leader_since < MEMBER_LEASE_S:
+            # Status reports reach a new leader only after some time.
             return
         for member in list(self._node.machine.members.values()):
             seen = self._node.seen.get(member.name)
