--- a/rackpost/endpoint_notices.py
+++ b/rackpost/endpoint_notices.py
@@ -1,8 +1,7 @@
-"""What is asked before anything is sent to an endpoint, and noted after.
+"""Checks before a request to an endpoint, and records after its answer.
 
-Whoever speaks to endpoints passes each send and each answer's head through
-here, so that one place decodes what they say of later requests, one keeps it
-and one logs it.
+All senders of requests to endpoints use this module, so that eligibility,
+named rates and their log lines are handled in one place.
 """
 
 from rackpost.decide import eligibility
@@ -20,7 +19,7 @@
     endpoint: endpoints.Endpoint,
     now: float,
 ) -> None:
-    """Raise Barred if nothing may be sent to an endpoint now."""
+    """Raise Barred if the endpoint is ineligible now."""
     bar = eligible.ineligible_reason(endpoint, now)
     if bar is not None:
         raise exceptions.Barred(bar.value)
@@ -34,7 +33,11 @@
     part: logs.Part,
     now: float,
 ) -> frozenset[eligibility.IneligibleReason]:
-    """Note what an answer to a request for `requested` says; what is news."""
+    """Record what an answer says about later requests.
+
+    `requested` is the endpoint the request was sent to.  Returns the reasons
+    for which the answering endpoint has newly become ineligible.
+    """
     said = eligibility.EndpointFeedback(
         backoff_s=headers.backoff_s(head),
         leaving=headers.announces_leaving(head),
@@ -66,7 +69,7 @@
     part: logs.Part,
     now: float,
 ) -> None:
-    """Note the rate that an answer names, or that it names none."""
+    """Record the rate that an answer names, or that it names none."""
     named = headers.named_rate(head)
     if named.unreadable and book.record_unreadable(endpoint):
         logs.say(
@@ -91,6 +94,6 @@
 
 
 def _answered_by(head: message.Head) -> types.EndpointId | None:
-    """Who says to have answered, where that is said."""
+    """Return the id of the answering endpoint, if the answer has it."""
     told = message.find(head.headers, headers.ANSWERED_BY)
     return None if told is None else types.EndpointId(told.decode("latin-1"))
--- a/rackpost/gateway/admission_queue.py
+++ b/rackpost/gateway/admission_queue.py
@@ -1,4 +1,4 @@
-"""Where generations wait for room at a decode endpoint."""
+"""Generations that wait for capacity at a decode endpoint."""
 
 import asyncio
 import contextlib
@@ -16,52 +16,48 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# Room may come without a word, as when a figure of another gateway grows
-# old: looked at this often, in seconds.
+# Capacity may become available without an event, as when the load report of
+# another gateway expires; the queue is rechecked at this interval.
 _LOOK_S = 0.05
-# Part of an endpoint's memory that is given away; the rest is for what two
-# gateways give away in one moment.  Room for answers that are longer than
-# guessed is kept by the forecast, where it depends on how many run.
+# Share of an endpoint's KV memory that is reserved.  The rest absorbs
+# reservations that two gateways make at the same moment; the KV forecast
+# accounts for answers that are longer than estimated.
 _FILL = 0.97
-# So much may be read at a prefill endpoint before a prompt that is sent
-# there, in seconds: some two usual prompts, of which one that is half read
-# counts whole, so that the endpoint is kept busy while figures travel.  What
-# waits longer waits here, where who can be in time goes first and no KV
-# memory is held for it.
+# Longest queue of a prefill endpoint that still gets a prompt, in seconds of
+# prefill work.  It keeps the endpoint busy while load reports travel; longer
+# queues form here, ordered by deadline and holding no KV memory.
 _QUEUE_S = 0.25
-# Those behind one that finds no room that are looked at.
+# Waiting requests without a fitting endpoint that one pass looks at.
 _LOOK_PAST = 4
-# Those that wait that other gateways are told of.
+# Waiting requests that are reported to other gateways.
 _MOST_TOLD = 6
-# Changes that come together are looked at together, in seconds: a part for
-# each gateway, of which many tell some hundred changes a second.
+# Delay per gateway, in seconds, so that changes that arrive together are
+# handled in one pass: a large fleet sends hundreds of reports a second.
 _GATHER_EACH_S = 0.0005
-# Requests that may wait at one gateway.
 _MOST = 512
-# Where nothing has begun for so long, in seconds, one request is begun that
-# looks hopeless by what was learned: nothing that is refused shows that it
-# was learned wrong.
+# When nothing was admitted for this long, in seconds, one request that seems
+# infeasible is admitted: rejected requests never correct a wrong estimate.
 _TRY_S = 1.0
 
 
 def _usable(wanted: reservation_mod.ReservationRequest) -> int:
-    """The part of an endpoint's memory that is given away, in tokens."""
+    """Return the part of an endpoint's KV memory to reserve, in tokens."""
     return int(wanted.memory_tokens * _FILL)
 
 
 def _nothing() -> None:
-    """No turn ends: nothing is read."""
+    """Release nothing: no prompt is prefilled."""
 
 
 class _Way(NamedTuple):
-    """Who reads a prompt: a prefill endpoint, or the one that decodes."""
+    """A prefill endpoint, or the terms of a prefill in place."""
 
     reader: endpoints.Endpoint | None
     in_place: endpoint_choice.InPlacePrefill | None
 
 
 class _Waiter:
-    """A generation that waits."""
+    """A waiting generation and the future of its result."""
 
     def __init__(self, *, wanted: reservation_mod.ReservationRequest) -> None:
         self.wanted = wanted
@@ -71,7 +67,7 @@
 
 
 class AdmissionQueue:
-    """Gives places away: who can still be in time goes first."""
+    """Reserves decode endpoints for waiting generations, by deadline."""
 
     def __init__(
         self,
@@ -85,10 +81,11 @@
         on_waiters_changed: Callable[[], None],
         split: bool = True,
     ) -> None:
-        """`capacity_changed` is set when there may be more room.
+        """`changed` is set when capacity may be available.
 
-        `on_waiters_changed` is called when others should know who waits.
-        Without `split` all prompts are read in place.
+        `waiters_changed` is called when the waiting requests that are reported
+        to other gateways have changed.  Without `split` all prompts are
+        prefilled in place.
         """
         self._loop = asyncio.get_running_loop()
         self._chooser = chooser
@@ -100,13 +97,13 @@
         self._split = split
         self._changed = capacity_changed
         self._waiters: list[_Waiter] = []
-        # When a place was last given, by the loop's clock.
+        # Clock reading of the last reservation.
         self._begun_at = self._loop.time()
 
     def most_urgent_waiters(
         self, now: float
     ) -> tuple[queue_order.WaitingSummary, ...]:
-        """Those that wait here and go first."""
+        """Return the waiting requests to report, most urgent first."""
         found = [
             queue_order.summarize(waiter.wanted.claim, now)
             for waiter in self._waiters
@@ -118,7 +115,10 @@
     async def reserve(
         self, wanted: reservation_mod.ReservationRequest
     ) -> reservation_mod.DecodeReservation | reservation_mod.NoCapacity:
-        """A place, which the caller must release, or word to come back."""
+        """Wait for a reservation, which the caller must release.
+
+        Returns NoCapacity where the request can't be served in time.
+        """
         now = self._loop.time()
         waiter = _Waiter(wanted=wanted)
         self._waiters.append(waiter)
@@ -126,7 +126,7 @@
         if not waiter.found.done():
             self._refuse_if_hopeless(waiter, now)
         if not waiter.found.done():
-            # The task looks for room from now on.
+            # `run` retries from now on.
             self._changed.set()
             self._waiters_changed()
         try:
@@ -144,10 +144,11 @@
         wanted: reservation_mod.ReservationRequest,
         endpoint: endpoints.Endpoint,
     ) -> reservation_mod.DecodeReservation | None:
-        """The place that a request had just now, if it is still there.
+        """Reserve the endpoint where the request's connection just broke.
 
-        Nobody takes it in between, and where the endpoint has kept the KV
-        cache there is nothing to read, so that no turn is needed.
+        Returns None if the endpoint takes no requests now.  The reserved
+        capacity was this request's until now, and an endpoint that still has
+        the KV cache need not prefill, so that nothing is reserved for that.
         """
         now = self._loop.time()
         if not self._chooser.candidates.may_resend(endpoint, now):
@@ -171,7 +172,10 @@
     def _opens_s(
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> float:
-        """How long all decode endpoints still want nothing, in seconds."""
+        """Return the time until a decode endpoint takes requests again.
+
+        In seconds; 0 if one does now.
+        """
         opens_s = self._chooser.candidates.available_in_s(
             wanted.service, types.Role.DECODE, exclude=wanted.exclude, now=now
         )
@@ -180,7 +184,7 @@
     def _expected_wait_s(
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> float:
-        """How long until it is its turn, in seconds."""
+        """Return the expected time until a request is admitted."""
         mine = queue_order.rank_of(wanted.claim, now)
         ahead = sum(
             queue_order.rank_of(item.wanted.claim, now) <= mine
@@ -192,7 +196,7 @@
             opening_s > 0.0
             and self._chooser.free_decode_slots(wanted.service, now) > ahead
         ):
-            # Nothing has to end first.
+            # Capacity is free; no running generation has to end first.
             return opening_s
         return opening_s + self._queue_s(wanted, ahead, now)
 
@@ -202,9 +206,9 @@
         ahead: int,
         now: float,
     ) -> float:
-        """How long back-offs and rates hold it up, in seconds.
+        """Return the delay by back-offs and named rates, in seconds.
 
-        `ahead` of it wait here.
+        `ahead` waiting requests of this gateway have precedence.
         """
         opens_s = self._opens_s(wanted, now)
         found = self._chooser.candidates
@@ -228,7 +232,7 @@
         ahead: int,
         now: float,
     ) -> float:
-        """How long those that go before it will take, in seconds."""
+        """Return how long the requests ahead will take, in seconds."""
         left = queue_order.summarize(wanted.claim, now)
         return queue_order.expected_wait_s(
             ahead=ahead + self._loads.waiting_ahead(left, self._vm, now),
@@ -242,7 +246,7 @@
         wait_s = self._expected_wait_s(wanted, now)
         chance = self._rng.random()
         after = queue_order.retry_after_s(wanted.claim, wait_s, now, chance)
-        # Nobody is told to come back before anything may be sent.
+        # A retry before an endpoint takes requests again would fail too.
         after = max(after, self._opens_s(wanted, now))
         return reservation_mod.NoCapacity(
             retry_after_s=after, expected_wait_s=wait_s
@@ -271,13 +275,13 @@
             if place is not None:
                 self._settle(waiter, place)
                 continue
-            # A smaller one behind it may fit.
+            # A smaller request behind it may fit.
             unplaced += 1
             if unplaced >= _LOOK_PAST:
                 return
 
     def _drop_hopeless(self, now: float) -> None:
-        """Refuse those that are known to be past their time at their turn."""
+        """Reject requests that will miss their deadline in the queue."""
         ahead = 0
         for waiter in list(self._waiters):
             wanted = waiter.wanted
@@ -293,10 +297,10 @@
     def _try(
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> reservation_mod.DecodeReservation | None:
-        """A place for one that looks hopeless, now and then.
+        """Occasionally reserve for a request that seems infeasible.
 
-        Only for one that would be in time if the figures were wrong, and
-        never where a planned stop would cut it if they are right.
+        It must be feasible if the estimates are wrong, and no planned stop may
+        interrupt it if they are right.
         """
         claim = wanted.claim
         if now < self._begun_at + _TRY_S or now >= claim.target:
@@ -309,11 +313,12 @@
     def _is_next(
         self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
     ) -> bool:
-        """Whether no more go before it elsewhere than there are places."""
+        """Whether capacity is left after the requests ahead elsewhere."""
         left = queue_order.summarize(wanted.claim, now)
         ahead = self._loads.waiting_ahead(left, self._vm, now)
-        # Two prompts read at one time at one endpoint make all that run
-        # there late, so that even few gateways take turns.
+        # Two prompts that one decode endpoint prefills at once delay all its
+        # streams, so that prefills in place take turns even among few
+        # gateways.
         if ahead == 0 or (
             way.in_place is None
             and self._loads.gateway_count
@@ -341,7 +346,7 @@
     def _in_place(
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> endpoint_choice.InPlacePrefill | None:
-        """How the decode endpoint reads the prompt, if it is to."""
+        """Return the terms of a prefill in place, if one is due."""
         read_apart = self._split and not wanted.in_place
         if read_apart and not self._chooser.must_prefill_in_place(
             wanted.service, now
@@ -354,7 +359,7 @@
     def _way(
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> _Way | None:
-        """How its prompt would be read now; None if it can't be."""
+        """Return how the prompt can be prefilled now, None if it can't."""
         in_place = self._in_place(wanted, now)
         if in_place is not None:
             return _Way(None, in_place)
@@ -396,7 +401,7 @@
     def _reader(
         self, wanted: reservation_mod.ReservationRequest, now: float
     ) -> endpoints.Endpoint | None:
-        """A prefill endpoint that reads the prompt without much delay."""
+        """Return a prefill endpoint with a short queue, None without one."""
         return self._chooser.choose_prefill(
             wanted.service,
             wanted.run.held_tokens,
@@ -407,7 +412,7 @@
     def _turn_to_read(
         self, endpoint: endpoints.Endpoint, prompt: int
     ) -> Callable[[], None]:
-        """Take the turn to read a prompt; what is returned ends it."""
+        """Reserve a prefill in place; return what releases it."""
         release = self._loads.add_request(endpoint.id, prompt=prompt)
 
         def end_turn() -> None:
@@ -426,7 +431,7 @@
         self._waiters_changed()
 
     async def run(self) -> None:
-        """Give places away as room comes, until cancelled."""
+        """Admit requests as capacity becomes available, until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_LOOK_S if self._waiters else None):
--- a/rackpost/gateway/answer_check.py
+++ b/rackpost/gateway/answer_check.py
@@ -1,10 +1,10 @@
-"""What the head of an endpoint's answer says, and whether it is sound."""
+"""Checks of the head of an endpoint's answer."""
 
 from rackpost.http1 import message
 from rackpost.platform import headers
 
-# Statuses that promise that a request has not run; only an endpoint that
-# says so explicitly is believed.
+# Statuses that tell a client that its request has not run; an endpoint has to
+# say so explicitly.
 _PROMISES = (408, 421, 429, 503)
 
 
@@ -22,9 +22,9 @@
 
 
 def why_unsound(head: message.Head, request_id: bytes | None) -> str:
-    """Why an answer may not be passed on; "" if it is sound.
+    """Return why an answer may not be passed on; "" if it may.
 
-    `request_id` is the request's own, None if it has none.
+    `request_id` is the request's id, None if it has none.
     """
     found = head.headers
     if head.status < 300:
--- a/rackpost/gateway/answer_relay.py
+++ b/rackpost/gateway/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passing an endpoint's answer on to the client, whole or as a stream."""
+"""Relaying an endpoint's answer to the client, whole or as a stream."""
 
 from rackpost import exceptions
 from rackpost.gateway import call as call_mod
@@ -8,7 +8,7 @@
 
 
 def pass_whole(call: call_mod.Call, head: message.Head, body: bytes) -> None:
-    """Pass an endpoint's whole answer on, unchanged."""
+    """Send an endpoint's whole answer to the client, unchanged."""
     lines = message.end_to_end(head.headers)
     if call.is_head:
         length = message.find(head.headers, b"content-length")
@@ -22,7 +22,7 @@
 async def relay(
     call: call_mod.Call, head: message.Head, conn: client.ClientConnection
 ) -> None:
-    """Pass a stream's events on as they come, each once and whole.
+    """Send a stream's events to the client as they come, each once.
 
     Raises ExchangeError where the stream is cut within an event.
     """
@@ -43,14 +43,14 @@
 
 
 def _is_new(call: call_mod.Call, event: events.Event) -> bool:
-    """Whether the client has not been sent an event yet."""
+    """Whether the client has not been sent this event yet."""
     if event.id is None or call.last_event is None:
         return True
     return event.id > call.last_event
 
 
 def _note_event(call: call_mod.Call, event: events.Event) -> None:
-    """An event came; one that the client lacks counts as sent to it."""
+    """Record an event, and its time if it is new to the client."""
     if event.id is None:
         return
     call.on_event()
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request to one endpoint, and what comes of it."""
+"""One attempt: a request to one endpoint, and its outcome."""
 
 import contextlib
 from typing import NamedTuple
@@ -16,13 +16,13 @@
 from rackpost.routing import endpoints
 from rackpost.routing import model
 
-# Answers that are not streams are held until they are whole, so that one
-# that is cut can be told from one that is whole.
+# Bytes; answers other than streams are buffered, so that a truncated one is
+# never passed on as complete.
 _MAX_ANSWER = 16 << 20
 
 
 class Reply(NamedTuple):
-    """An endpoint's answer has begun."""
+    """The head of an endpoint's answer, and the connection of its body."""
 
     conn: client.ClientConnection
     head: message.Head
@@ -31,7 +31,7 @@
 def run_headers(
     call: call_mod.Call, endpoint: endpoints.Endpoint, now: float
 ) -> list[message.Header]:
-    """The headers of a request as this endpoint is sent it."""
+    """Return the headers of the request to one endpoint."""
     left_ms = max(1, int((call.until - now) * 1000))
     found = list(call.passed)
     if call.last_event is not None:
@@ -48,14 +48,14 @@
 def connected(
     call: call_mod.Call, endpoint: endpoints.Endpoint
 ) -> contextlib.AbstractAsyncContextManager[client.ClientConnection]:
-    """A connection to an endpoint; ExchangeError if there is none."""
+    """Open a connection to an endpoint; raises ExchangeError."""
     return endpoint_calls.connected(call.site, call.service, endpoint)
 
 
 def granted(
     call: call_mod.Call, endpoint: endpoints.Endpoint
 ) -> contextlib.AbstractAsyncContextManager[rate_grants.Grant | None]:
-    """A grant to send it there, where the endpoint names a rate.
+    """Acquire a grant for one request, where the endpoint names a rate.
 
     Raises Barred where there is none now.
     """
@@ -66,7 +66,8 @@
         exclude=call.not_again,
         now=site.loop_time(),
     )
-    # Where one takes what comes, it goes there rather than wait here.
+    # While some endpoint names no rate, the request goes there instead of
+    # waiting for a grant.
     return site.grants.acquire(
         endpoint, priority=call.priority, waits=per_s is not None
     )
@@ -79,10 +80,10 @@
     extra: list[message.Header],
     grant: rate_grants.Grant | None = None,
 ) -> Reply:
-    """Send the request; returns once the answer's head is there.
+    """Send the request; return once the answer's head has arrived.
 
-    Without a `grant` that is still good it asks for one where one is needed.
-    Raises ExchangeError where there is no such answer.
+    Acquires a grant where one is needed and `grant` has expired or is None.
+    Raises ExchangeError where there is no answer.
     """
     now = call.site.loop_time()
     if grant is None or not grant.is_for(endpoint, now):
@@ -115,7 +116,7 @@
 def note_replaced(
     call: call_mod.Call, endpoint: endpoints.Endpoint, head: message.Head
 ) -> None:
-    """Drop an endpoint at whose address another one has answered."""
+    """Drop an endpoint whose address now belongs to another one."""
     if head.status != 421:
         return
     other = message.find(head.headers, headers.ANSWERED_BY)
@@ -132,9 +133,9 @@
 async def run(
     call: call_mod.Call, endpoint: endpoints.Endpoint
 ) -> retry_decision.AttemptEnd | None:
-    """Have an endpoint run a request and pass its answer on.
+    """Send a request to an endpoint and pass its answer on.
 
-    None once the client has the whole answer.  An own failure of the
+    Returns None once the client has the whole answer.  A 5xx answer of the
     endpoint is kept in `call.failure`.
     """
     try:
@@ -149,7 +150,7 @@
     endpoint: endpoints.Endpoint,
     exc: exceptions.ExchangeError,
 ) -> retry_decision.AttemptEnd:
-    """An endpoint takes no connection; the request was not sent."""
+    """Record that no connection was made and the request not sent."""
     if isinstance(exc, exceptions.Barred):
         return _barred(call, endpoint, exc)
     call.tried.append(endpoint.id)
@@ -161,9 +162,9 @@
     endpoint: endpoints.Endpoint,
     exc: exceptions.Barred,
 ) -> retry_decision.AttemptEnd:
-    """Nothing may be sent there any more since it was chosen.
+    """Record that the endpoint became ineligible after it was chosen.
 
-    That says nothing against the endpoint and uses up no attempt.
+    This neither counts against the endpoint nor uses up an attempt.
     """
     call.log("Not sent.", endpoint=endpoint.id, why=str(exc))
     return retry_decision.AttemptEnd.NOT_SENT
@@ -176,7 +177,7 @@
     extra: list[message.Header],
     grant: rate_grants.Grant | None = None,
 ) -> retry_decision.AttemptEnd | None:
-    """As `run`, on a connection that is up, with further headers."""
+    """Do as `run` on an open connection, with additional headers."""
     began = call.site.loop_time()
     if call.sampled or call.tried:
         _log_choice(call, endpoint, began)
@@ -210,7 +211,7 @@
 def _log_choice(
     call: call_mod.Call, endpoint: endpoints.Endpoint, now: float
 ) -> None:
-    """Log where a request goes, and how old what that rests on is."""
+    """Log the chosen endpoint and the age of the data behind the choice."""
     site = call.site
     use = site.loads.total(endpoint.id)
     heard_at = site.table.last_heartbeat_at.get(endpoint.id, now)
@@ -235,7 +236,7 @@
     *,
     began: float | None,
 ) -> retry_decision.AttemptEnd:
-    """Note that an attempt broke, sent at `began`; None if it was not."""
+    """Record a broken attempt; `began` is None if it was not sent."""
     site = call.site
     now = site.loop_time()
     if not isinstance(exc, exceptions.NoPlace):
@@ -306,7 +307,7 @@
     body = await reply.conn.read_whole(_MAX_ANSWER)
     head = reply.head
     if call.responder.started:
-        # A stream can't go on with an answer that is none.
+        # A stream that has begun can only be resumed by a stream.
         raise exceptions.ExchangeError("not a stream to go on with")
     if head.status >= 500:
         call.site.health.record_error(endpoint.id)
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -19,17 +19,19 @@
 from rackpost.routing import model
 from rackpost import types
 
-# Of answers in time, one in this many is logged; all others are.
+# One in this many requests is logged when answered in time; late answers are
+# always logged.
 _SAMPLE = 16
-# Endpoints that may ask for a back-off before one request is refused: two say
-# little of a third, and more would be most of a service's repeats.
+# Refusals with a back-off after which a request no longer returns to the
+# endpoints that sent them: each costs a retry.
 _MOST_WAITS = 3
-# Other gateways take at once what one that stops does not begin; in seconds.
+# Retry-After of requests that a stopping gateway refuses, in seconds; other
+# gateways can serve them at once.
 ELSEWHERE_S = 0.05
 
 
 class Reason(enum.Enum):
-    """Why a gateway gave an answer of its own."""
+    """Why a gateway answered a request itself."""
 
     NO_ROUTE = "no-route"
     NO_KEY = "no-key"
@@ -48,17 +50,17 @@
 
 
 class Failure(NamedTuple):
-    """An endpoint's own failure, kept in case that nothing else is tried."""
+    """An endpoint's 5xx answer, passed on if no attempt follows."""
 
     head: message.Head
     body: bytes
 
 
 class Call:
-    """A request, what was tried for it, and what its client is told.
+    """A request, its attempts, and the answer to its client.
 
-    `until` is a reading of the loop's clock: the end of the client's or
-    the route's time, whichever comes first.
+    `until` is a reading of the loop's clock: the client's or the route's
+    deadline, whichever is earlier.
     """
 
     def __init__(
@@ -80,27 +82,27 @@
         self.service = service
         self.caller = caller
         self.priority = caller.priority(route)
-        # What it counts against a quota, if its organisation has one.
+        # The request's units in its organisation's quota, if it has one.
         self.charge: charge_mod.Charge | None = None
         self.began = began
         self.until = until
         self.request_id = message.find(req.headers, headers.REQUEST_ID)
         self.budget = site.budget(service.name)
         self.tried: list[types.EndpointId] = []
-        # Endpoints that turned it away and asked for a back-off.
+        # Endpoints that refused it and asked for a back-off.
         self.asked_to_wait: list[types.EndpointId] = []
-        # Sends that arrived, and the endpoints that may have run one: those
-        # are the route's attempts, of which a rejected one uses up none.
+        # Requests that reached an endpoint, and the endpoints that may have
+        # run one.  Only the latter count as attempts of the route.
         self.sent = 0
         self.ran_at: set[types.EndpointId] = set()
         self.may_have_run = False
         self.failure: Failure | None = None
-        # A connection broke on which an endpoint had it.
+        # Whether a connection broke while an endpoint had the request.
         self.broke = False
-        # Called for each event that comes from an endpoint.
+        # Called for each event of the endpoint's stream.
         self.on_event: Callable[[], None] = _nothing
         self.times = stream_times.StreamTimes(began=began)
-        # The last event that the client was sent, to go on from.
+        # Id of the last event sent to the client, for resuming the stream.
         self.last_event: int | None = None
         self.passed = caller.passed_on(
             [
@@ -113,7 +115,7 @@
     def note_broken(
         self, endpoint: endpoints.Endpoint, *, began: float
     ) -> None:
-        """A connection broke on which an endpoint had it since `began`."""
+        """Record that the connection of an attempt sent at `began` broke."""
         now = self.site.loop_time()
         self.broke = True
         self.site.suspects.record_broken(
@@ -122,10 +124,10 @@
 
     @property
     def not_again(self) -> list[types.EndpointId]:
-        """Endpoints that it is not sent to again.
+        """Endpoints that the request must not be sent to again.
 
-        One that asked for a back-off may be, once that is over; but not for
-        ever, since each that turns it away is one more repeat.
+        An endpoint that asked for a back-off may get it once more afterwards,
+        but not after several refusals: each one costs a retry.
         """
         if len(self.asked_to_wait) >= _MOST_WAITS:
             return self.tried
@@ -138,7 +140,7 @@
 
     @functools.cached_property
     def fingerprint(self) -> types.Fingerprint:
-        """What this request is known by, also when it comes again."""
+        """The digest that identifies the request when it is sent again."""
         return fingerprint.fingerprint(
             organisation=types.OrganisationName(self.caller.name),
             method=self.req.method,
@@ -147,7 +149,7 @@
         )
 
     def situation(self, now: float) -> retry_decision.Situation:
-        """What decides on a further attempt."""
+        """Return the inputs of the decision on a further attempt."""
         return retry_decision.Situation(
             repeatable=self.route.repeatable,
             may_have_run=self.may_have_run,
@@ -174,14 +176,14 @@
     def sampled(self) -> bool:
         """Whether the ordinary steps of this request are logged.
 
-        Chosen by its id, so that all processes choose the same requests.
+        Derived from its id, so that all processes choose the same requests.
         """
         return sum(self.request_id or b"") % _SAMPLE == 0
 
     def refuse(
         self, reason: Reason, come_back_s: float, status: int = 503
     ) -> None:
-        """Tell the client that its request has not run and won't."""
+        """Answer that the request was not run."""
         self._count(reason)
         self.log(
             "Refused, not run.",
@@ -192,27 +194,25 @@
         refuse(self.responder, come_back_s, status)
 
     def end_if_barred(self) -> bool:
-        """End it if it may not be sent to an endpoint; whether it may not.
+        """End the request if its key is revoked or it is quarantined.
 
-        Asked again before each attempt: both may have come meanwhile.
+        Returns whether it was ended.  Checked before each attempt, as both can
+        happen while it waits.
         """
         return self._end_if_revoked() or self._end_if_held()
 
     def held_s(self) -> float:
-        """How much longer it is held back, in seconds; 0 if it is not."""
+        """Return how much longer it is quarantined, in seconds; 0 if not."""
         suspects = self.site.suspects
         if not suspects.book.may_hold_any():
-            # As a rule: no request is digested before it is sent.
+            # Usually nothing is quarantined, which saves the fingerprint.
             return 0.0
         return suspects.quarantine_left_s(
             self.fingerprint, self.site.loop_time()
         )
 
     def _end_if_held(self) -> bool:
-        """End it if it is held back, as endpoints ended under it.
-
-        Its caller is told the truth, and when it will be tried again.
-        """
+        """End the request if it is quarantined; return whether it is."""
         left_s = self.held_s()
         if left_s <= 0.0:
             return False
@@ -231,7 +231,7 @@
         return True
 
     def _end_if_revoked(self) -> bool:
-        """End it if its key has been taken away; whether it has."""
+        """End the request if its key was revoked; return whether it was."""
         if not self.caller.is_revoked():
             return False
         if self.may_have_run:
@@ -243,7 +243,7 @@
         return True
 
     def fail(self, reason: Reason, status: int) -> None:
-        """Tell the client that it is not known whether its request ran."""
+        """Answer that the request may have run."""
         self._count(reason)
         self.log("Failed, may have run.", reason=reason.value, status=status)
         if self.responder.started:
@@ -257,7 +257,7 @@
     def delivered(
         self, endpoint: endpoints.Endpoint, head: message.Head
     ) -> None:
-        """The client has the whole answer."""
+        """Record and log that the client has the whole answer."""
         now = self.site.loop_time()
         took_s = now - self.began
         self._note_served(head, now)
@@ -274,22 +274,22 @@
             )
 
     def _note_served(self, head: message.Head, now: float) -> None:
-        """Note that it ends no endpoint, where its answer shows it.
+        """Clear the request of suspicion if its answer was complete.
 
-        One that broke on its way may end those that read it and not those
-        that run it; an answer without a length ends as its endpoint does.
+        An answer that ends with its connection may be truncated, and a request
+        whose attempt broke may crash only the endpoint that prefills it.
         """
         if not self.broke and head.framing is not message.Framing.CLOSE:
             self.site.suspects.record_served(self.fingerprint, now)
 
     def _is_late(self, took_s: float) -> bool:
-        """Whether an answer, or an event of it, came after its target."""
+        """Whether the answer, or an event of it, missed its target."""
         if self.times.first_s is not None:
             return self.times.is_late(self.route)
         return 0.0 < self.route.target_s < took_s
 
     def _time(self, took_s: float) -> None:
-        """Put an answer's times into the histograms."""
+        """Record the answer's times in the histograms."""
         metrics = self.site.metrics
         name = self.route.name
         metrics.time("answer", name, took_s)
@@ -299,17 +299,17 @@
 
 
 def _nothing() -> None:
-    """Nobody follows the events."""
+    """Ignore an event."""
 
 
 def ask_for_key(responder: server.Responder) -> None:
-    """Answer that a request shows no key that is anybody's."""
+    """Answer that the request has no known key."""
     responder.whole(401, [headers.AUTH_CHALLENGE], b"")
 
 
 def refuse(
     responder: server.Responder, come_back_s: float, status: int = 503
 ) -> None:
-    """Answer that a request has not run, and when to come back."""
+    """Answer that the request was not run, with a Retry-After header."""
     after = b"%.2f" % come_back_s
     responder.whole(status, [(b"retry-after", after)], b"")
--- a/rackpost/gateway/callers.py
+++ b/rackpost/gateway/callers.py
@@ -1,4 +1,4 @@
-"""Who asks: the organisation that a request's key belongs to."""
+"""The caller of a request: the organisation that its key belongs to."""
 
 from rackpost.http1 import message
 from rackpost.platform import headers
@@ -7,10 +7,10 @@
 
 
 class Caller:
-    """The organisation of one request, as long as its key is one of its.
+    """The organisation of one request, if it has a known key.
 
-    Without `keys_required` in the document nobody has a key, and what
-    clients send in its place is passed on as any other header.
+    Without `keys_required` in the routing document no request has a key, and
+    its key headers are passed on like any others.
     """
 
     def __init__(
@@ -29,15 +29,15 @@
         return "" if self.organisation is None else self.organisation.name
 
     def may_use(self, route: model.Route) -> bool:
-        """Whether a route is open to this caller."""
+        """Whether this caller may use a route."""
         needs_key = self._routes.organisations.keys_required
         return not needs_key or route.public or self.organisation is not None
 
     def is_revoked(self) -> bool:
-        """Whether its key has been taken away since it asked.
+        """Whether the key has been revoked since the request arrived.
 
-        Looked up again before each attempt, so that one who waited, or
-        whose attempt broke, is not served on a key that is gone.
+        Checked before each attempt, so that a request that waited or is
+        retried is not served on a revoked key.
         """
         if self.organisation is None:
             return False
@@ -45,14 +45,14 @@
         return found is None or found.name != self.organisation.name
 
     def priority(self, route: model.Route) -> int:
-        """Who goes first: the organisation's rank, else the route's."""
+        """Return the organisation's priority, else the route's."""
         own = self.organisation
         if own is None or own.priority is None:
             return route.priority
         return own.priority
 
     def passed_on(self, sent: list[message.Header]) -> list[message.Header]:
-        """What an endpoint is told: whose it is, and never the key."""
+        """Return the headers for an endpoint, without the key."""
         if not self._routes.organisations.keys_required:
             return sent
         kept = [
--- a/rackpost/gateway/charge.py
+++ b/rackpost/gateway/charge.py
@@ -7,11 +7,11 @@
 
 
 class Charge:
-    """The units of a request that was admitted.
+    """The quota units of one admitted request.
 
-    They count from then on: while it waits, and for a window after each
-    send to an endpoint that may have run it.  Of one that never ran
-    nothing is counted in the end.
+    They count while the request waits, and for one quota window after each
+    send to an endpoint that may have run it.  A request that never ran counts
+    nothing in the end.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         quotas.admit(self._name, units, now)
 
     def sent(self, now: float) -> None:
-        """It is sent to an endpoint; a repeat counts once more."""
+        """Count the units of a send to an endpoint; a retry counts again."""
         if not self._is_waiting:
             self._quotas.admit(self._name, self._units, now)
         self._is_waiting = False
@@ -38,21 +38,21 @@
         self._quotas.record_sent(self._name, self._units, now)
 
     def not_run(self, now: float) -> None:
-        """The endpoint that it was sent to has not run it."""
+        """Record that the endpoint did not run the last send."""
         self._quotas.record_not_run(
             self._name, self._units, self._sent_at, now
         )
         self._is_waiting = True
 
     def end(self, now: float) -> None:
-        """Nothing more is sent."""
+        """Release the units of a request that was never run."""
         if self._is_waiting:
             self._is_waiting = False
             self._quotas.cancel(self._name, self._units, now)
 
 
 def units(limit: model.Quota, req: message.Request) -> int:
-    """What a request counts: its prompt and the most that it may answer."""
+    """Return the request's units, from its prompt and maximum output."""
     sizes = headers.request_sizes(req.headers)
     tokens = None if sizes is None else sizes.prompt + sizes.max_output
     return quota.request_units(limit, tokens)
--- a/rackpost/gateway/control_links.py
+++ b/rackpost/gateway/control_links.py
@@ -1,4 +1,4 @@
-"""A gateway's links to the coordinators: routes and endpoints come in."""
+"""A gateway's links to the coordinators, which send routes and endpoints."""
 
 import asyncio
 
@@ -18,16 +18,16 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# Endpoints heard of within this time are told on, in seconds: a little
-# more than the time between two heartbeats.
+# Endpoints with a heartbeat within this time are reported to a coordinator
+# that asks, in seconds; a little more than the heartbeat interval.
 _FRESH_S = 1.5
 
 
 class ControlLinks:
-    """Links to every coordinator that is known.
+    """Links to all known coordinators.
 
-    The highest version of the document holds, whoever told it; so does an
-    endpoint's last word.
+    The highest version of the routing document and the latest state of each
+    endpoint count, whichever coordinator sent them.
     """
 
     def __init__(self, *, site: site_mod.Site) -> None:
@@ -46,19 +46,19 @@
         self._told: dict[str, messages.Peers] = {}
         self._changing: dict[str, tuple[types.EndpointId, ...]] = {}
         self._updates = routing_updates.RoutingUpdates(site=site)
-        # Links on which a coordinator has said what it holds.
+        # Links on which a coordinator has reported its document version.
         self._linked: set[websocket.WebSocketChannel] = set()
         site.suspects.publish = self._tell_suspicions
         self.reload(self._host)
 
     def reload(self, host: settings.HostSettings) -> None:
-        """Take new settings: other seeds."""
+        """Apply new settings: other seeds."""
         self._seeds = {links.host_of(item) for item in host.seeds}
         self._set_hosts()
 
     def _on_changing(self, host: str, msg: messages.ChangingEndpoints) -> None:
-        # Only the leader has any; what a former one said is dropped with
-        # its next word or its link.
+        # Only the leader reports any.  A former leader's report is dropped
+        # with its next report or its link.
         self._changing[host] = msg.ids
         self._site.eligible.set_changing_role(
             key for ids in self._changing.values() for key in ids
@@ -66,7 +66,7 @@
         self._site.room_changed.set()
 
     def tell_demands(self) -> None:
-        """Tell all coordinators what this gateway's clients ask for."""
+        """Report the demand of this gateway's clients to all coordinators."""
         msg = messages.Demands(
             items=self._site.demands(),
             quotas=self._site.quota_use.recent(self._loop.time()),
@@ -78,7 +78,10 @@
         msg: msgspec.Struct,
         but: websocket.WebSocketChannel | None = None,
     ) -> None:
-        """Tell all coordinators; a link may end as it is told too much."""
+        """Send a message to all coordinators but one.
+
+        A link whose queue is full may be closed by the send.
+        """
         for conn in list(self._linked):
             if conn is not but:
                 conn.send(msg)
@@ -86,18 +89,18 @@
     def _tell_suspicions(
         self, items: tuple[quarantine.Suspicion, ...]
     ) -> None:
-        """Tell all coordinators what counts against some requests."""
+        """Send suspicions against requests to all coordinators."""
         self._tell_all(messages.Suspicions(items=items))
 
     def _on_linked(self, conn: websocket.WebSocketChannel) -> None:
-        """A coordinator is there: tell it what it may not know."""
+        """Send the known suspicions to a newly linked coordinator."""
         self._linked.add(conn)
         items = self._site.suspects.book.suspicions(1)
         if items:
             conn.send(messages.Suspicions(items=items))
 
     def _latest(self) -> list[messages.Peers]:
-        """What those say that are linked; else all that was ever said."""
+        """Return the reports of linked coordinators, or else all reports."""
         linked = [
             told
             for host, told in self._told.items()
@@ -125,7 +128,7 @@
         self._updates.lost(conn)
         if self._changing.pop(host, None):
             self._on_changing(host, messages.ChangingEndpoints(ids=()))
-        # What it told of the others is kept: they may outlive it.
+        # Its report on other hosts is kept: they may still be running.
 
     def _on_message(
         self,
@@ -159,7 +162,7 @@
     def _on_silent(
         self, conn: websocket.WebSocketChannel, msg: messages.SilenceQuery
     ) -> None:
-        """Tell which of them another coordinator has heard of."""
+        """Report which endpoints another coordinator has heartbeats of."""
         since = self._loop.time() - _FRESH_S
         known = set(self._site.table.with_heartbeat_since(since))
         found = tuple(key for key in msg.ids if key in known)
@@ -180,7 +183,7 @@
             if item.state is endpoints.EndpointState.GONE or (
                 old is not None and table.has_restarted(old)
             ):
-                # What it was like before says nothing of its next life.
+                # The health of an earlier incarnation does not apply.
                 self._site.health.forget(item.id)
             logs.say(
                 logs.Part.GATEWAY,
@@ -201,7 +204,7 @@
         source: websocket.WebSocketChannel,
         changed: list[endpoints.Endpoint],
     ) -> None:
-        """Tell news on to coordinators that may not reach each other."""
+        """Relay updates to coordinators that may not reach each other."""
         site = self._site
         for item in changed:
             if not notice_relays.is_relay(
@@ -216,6 +219,6 @@
         )
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         self._updates.close()
         self._dialler.close()
--- a/rackpost/gateway/crash_tracker.py
+++ b/rackpost/gateway/crash_tracker.py
@@ -1,4 +1,9 @@
-"""Requests under which endpoints end: what a gateway sees and is told."""
+"""Tracks requests that were in flight when endpoints crashed.
+
+Each broken connection is a suspicion against its request, shared with all
+gateways through the coordinators.  It is cleared when the request is answered
+or the endpoint turns out to be alive.
+"""
 
 from typing import Callable
 from typing import Iterable
@@ -11,27 +16,24 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# A request that was answered in full this long ago or less does not end
-# endpoints, in seconds.  Longer ago it may: software is replaced.
+# An answer clears its request for this long, in seconds; later the endpoints'
+# software may have been replaced.
 _SERVED_S = 30.0
-# Requests that are remembered as answered, some 150 KB: what a gateway with
-# 30 requests a second answers in `_SERVED_S`.
+# Bounds the memory for answered requests.
 _MOST_SERVED = 1024
-# A heartbeat tells that an endpoint is alive if it came this long after a
-# connection to it broke, in seconds: it may have been sent a second before,
-# and coordinators tell of it half a second later.
+# Heartbeats that arrive sooner than this after a connection broke may have
+# been sent before, in seconds.
 _SURELY_LATER_S = 2.0
-# And so does only the second one, this much later, in seconds: some are held
-# up by seconds on the way, but not by the same time.
+# A second heartbeat has to follow the first one after this long, in seconds,
+# as single heartbeats can be delayed on the way.
 _BETWEEN_BEATS_S = 0.6
-# An endpoint that has not been heard of after this long has ended, in
-# seconds: some ten heartbeats.
+# Without heartbeats for this long the endpoint has crashed, in seconds.
 _WATCHED_S = 12.0
 
-# Broken connections that are watched; the oldest go first.
+# Bounds the broken connections that are watched; the oldest are dropped.
 _MOST_WATCHED = 4096
 
-# Why a request is cleared, for the log.
+# Reasons in the log for clearing a request.
 _IN_FULL = "answered in full"
 _ALIVE = "endpoint is alive"
 
@@ -39,9 +41,9 @@
 
 
 class _Watched(NamedTuple):
-    """A suspicion whose endpoint may yet turn out to be alive.
+    """A suspicion whose endpoint may turn out to be alive.
 
-    `heard_at` is when it was first heard of afterwards, if it was.
+    `heard_at` is the time of its first heartbeat after the connection broke.
     """
 
     suspicion: quarantine.Suspicion
@@ -51,11 +53,11 @@
 
 
 class CrashTracker:
-    """The book of one gateway, and what it adds to it."""
+    """One gateway's quarantine table, and the suspicions that it adds."""
 
     def __init__(self, *, table: endpoints.EndpointTable) -> None:
         self.book = quarantine.Quarantine()
-        # Tells the coordinators; set by who is linked to them.
+        # Sends suspicions to the coordinators; set by ControlLinks.
         self.publish: Tell = _nobody
         self._table = table
         self._watched: list[_Watched] = []
@@ -69,9 +71,9 @@
         ran_s: float,
         now: float,
     ) -> None:
-        """A connection broke on which an endpoint ran a request.
+        """Record that a connection broke while an endpoint ran a request.
 
-        An endpoint that said it would leave may end while it runs some.
+        Ignored for endpoints that have announced that they leave.
         """
         if self._table.has_left(endpoint):
             return
@@ -88,7 +90,7 @@
         self._add((found,), now)
 
     def record_served(self, request: types.Fingerprint, now: float) -> None:
-        """A request was answered in full, so that it ends no endpoint."""
+        """Clear a request that was answered in full."""
         self._served.pop(request, None)
         self._served[request] = now
         while len(self._served) > _MOST_SERVED:
@@ -98,7 +100,7 @@
     def receive(
         self, items: Iterable[quarantine.Suspicion], now: float
     ) -> None:
-        """A coordinator tells what counts against some requests."""
+        """Add suspicions that a coordinator has sent."""
         for request in self.book.add(items, now):
             served_at = self._served.get(request)
             if served_at is not None and now - served_at < _SERVED_S:
@@ -109,14 +111,14 @@
     def quarantine_left_s(
         self, request: types.Fingerprint, now: float
     ) -> float:
-        """How much longer a request is held back, in seconds; 0 if not."""
+        """Return how long a request stays quarantined, 0 if it is not."""
         return self.book.remaining_s(request, now)
 
     def recheck(self, now: float) -> None:
-        """Clear what endpoints have shown that are alive; about each second.
+        """Clear requests whose endpoint is alive; call about each second.
 
-        Their heartbeats go on, in the same life, after their connection
-        broke: it was reset or cut.
+        An endpoint is alive if its heartbeats go on in the same incarnation
+        after the connection broke.
         """
         self._watched = [
             item
@@ -147,7 +149,7 @@
         why: str,
         now: float,
     ) -> None:
-        """Take what clears a request, if anything counted against it."""
+        """Add suspicions marked as cleared, if there are any."""
         if not items:
             return
         logs.say(
@@ -178,4 +180,4 @@
 
 
 def _nobody(items: tuple[quarantine.Suspicion, ...]) -> None:
-    """No coordinator is linked yet."""
+    """Send nothing: no coordinator is linked yet."""
--- a/rackpost/gateway/document_fetch.py
+++ b/rackpost/gateway/document_fetch.py
@@ -1,9 +1,8 @@
-"""When a gateway asks whom for which part of the routing document.  Pure.
+"""Decides when to request which chunk of the routing document.  Pure.
 
-At most one part is asked for at a time, whatever is announced meanwhile:
-copies of what takes long would fill a gateway's slow link, keepalives would
-wait behind them, and the link would be given up with all that had come.
-What has come is kept: it counts whoever sends the rest.
+At most one request is in flight, whatever is announced meanwhile: more would
+fill a slow link and delay its keepalives until it is closed.  Received chunks
+are kept and count whichever coordinator sends the rest.
 """
 
 import random
@@ -16,20 +15,23 @@
 
 H = TypeVar("H", bound=Hashable)
 
-# A part that has not come after the longest of these is asked for again:
-# this time, in seconds, and a multiple of what the last part took.  The
-# first is 20 times what a part takes on a link of 5 Mbit/s.
+# A chunk is requested again after the longer of these: a time in seconds, and
+# a multiple of the time that the last chunk took.  The time suffices for a
+# chunk on a link of 5 Mbit/s.
 _PATIENCE_S = 0.5
 _PATIENCE_PARTS = 4.0
-# It doubles with each part that did not come, up to this, in seconds.
+# The timeout doubles with each missing chunk up to this, in seconds.
 _MAX_PATIENCE_S = 4.0
-# After something that could not be used the whole is asked for this much
-# later, in seconds: the next one may be no better.
+# After an unusable document the whole one is requested this much later, in
+# seconds, as the next may be unusable too.
 _REST_S = 1.0
 
 
 class FetchRequest(NamedTuple, Generic[H]):
-    """What to send to whom; `is_retry` if the last one asked was silent."""
+    """A message to send to a peer.
+
+    `is_retry` is set if the last request was not answered.
+    """
 
     peer: H
     msg: messages.FetchRouting
@@ -37,7 +39,7 @@
 
 
 class _Asked(NamedTuple, Generic[H]):
-    """A part that is under way, and since when."""
+    """A request in flight, with the times of its start and its timeout."""
 
     holder: H
     at: float
@@ -45,7 +47,7 @@
 
 
 class _Partial:
-    """What has come of a transfer."""
+    """The received chunks of a transfer."""
 
     def __init__(self, *, part: messages.RoutingChunk, began: float) -> None:
         self.digest = part.digest
@@ -55,14 +57,14 @@
 
 
 class Transfer(NamedTuple):
-    """A transfer that is whole, and how long it took in seconds."""
+    """A complete transfer, and how long it took in seconds."""
 
     data: bytes
     took_s: float
 
 
 class DocumentFetch(Generic[H]):
-    """The transfers of one gateway; a holder is a linked coordinator."""
+    """The transfers of one gateway; a peer is a linked coordinator."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -71,34 +73,38 @@
         self._partial: _Partial | None = None
         self._last: H | None = None
         self._patience_s = _PATIENCE_S
-        # No change to this version is asked for: one could not be used.
+        # Version whose last change was unusable; the whole document is
+        # requested instead.
         self._spoilt: int | None = None
         self._rest_until: float | None = None
 
     @property
     def newest(self) -> int:
-        """The newest version that a holder has."""
+        """The newest version that a peer has."""
         return max(self._holders.values(), default=0)
 
     @property
     def wake_at(self) -> float | None:
-        """When there may be something to ask, if nothing comes before."""
+        """When to call `next_request` next, if nothing arrives before."""
         if self._asked is not None:
             return self._asked.until
         return self._rest_until
 
     def record_version(self, holder: H, version: int) -> None:
-        """A holder has this version."""
+        """Record that a peer has this version."""
         self._holders[holder] = version
 
     def remove_peer(self, holder: H) -> None:
-        """A holder is linked no more."""
+        """Record that the link to a peer has ended."""
         self._holders.pop(holder, None)
         if self._asked is not None and self._asked.holder == holder:
             self._asked = None
 
     def next_request(self, *, have: int, now: float) -> FetchRequest[H] | None:
-        """What to ask now by a gateway that has the version `have`."""
+        """Return the request to send now, None if there is none.
+
+        `have` is the version that the gateway has.
+        """
         if self.newest <= have:
             self._asked = None
             self._partial = None
@@ -120,10 +126,10 @@
         return FetchRequest(holder, self._fetch(have), silent is not None)
 
     def _choose(self, silent: H | None) -> H:
-        """Who is asked: the last one again, unless it was silent.
+        """Return the peer of the last request, unless it did not answer.
 
-        It knows the transfer, and what this gateway has.  Gateways that
-        have asked nobody yet spread by chance.
+        It knows the transfer.  Otherwise a random one with the newest version,
+        so that gateways spread over the coordinators.
         """
         newest = self.newest
         found = [key for key, at in self._holders.items() if at == newest]
@@ -146,9 +152,9 @@
     def receive(
         self, holder: H, part: messages.RoutingChunk, now: float
     ) -> Transfer | None:
-        """Take a part; the whole once all of it is there.
+        """Add a chunk; return the transfer once it is complete.
 
-        A part that is not the next one came twice, and is dropped.
+        A chunk other than the next one is a duplicate and is dropped.
         """
         if not self._is_next(holder, part):
             return None
@@ -165,7 +171,7 @@
         return Transfer(bytes(partial.data), now - partial.began)
 
     def reject_document(self, *, have: int, now: float) -> None:
-        """What came was of no use to a gateway that has `have`."""
+        """Record that the last transfer was unusable for version `have`."""
         self._spoilt = have
         self._rest_until = now + _REST_S
 
@@ -173,8 +179,8 @@
         partial = self._partial
         if partial is not None and part.digest == partial.digest:
             return part.offset == len(partial.data)
-        # Another transfer may begin only where it was asked for: what one
-        # says late that was given up must not undo what has come since.
+        # A new transfer may start only with the requested peer: a late answer
+        # to an abandoned request must not discard received chunks.
         asked = self._asked is not None and self._asked.holder == holder
         return part.offset == 0 and asked
 
--- a/rackpost/gateway/endpoint_calls.py
+++ b/rackpost/gateway/endpoint_calls.py
@@ -1,8 +1,8 @@
-"""The one way from a gateway to an endpoint.
+"""Sends requests from a gateway to endpoints.
 
-Whatever is sent there goes through here: it is not sent to an endpoint that
-may get nothing now (`decide/eligibility.py`), and what the head of each
-answer says of later requests is noted.
+All requests to endpoints go through this module.  It sends nothing to an
+ineligible endpoint (`decide/eligibility.py`) and records what each answer's
+head says about later requests.
 """
 
 import contextlib
@@ -24,20 +24,21 @@
     service: model.Service,
     endpoint: endpoints.Endpoint,
 ) -> AsyncIterator[client.ClientConnection]:
-    """A connection to an endpoint.
+    """Open a connection to an endpoint.
 
-    Raises ExchangeError if there is none, Barred if nothing may be sent.
+    Raises ExchangeError if there is none, Barred if the endpoint is
+    ineligible.
     """
     check(site, endpoint)
     most = site.connections_to(service)
     async with site.pool.connection(endpoint.address, most=most) as conn:
-        # Others were answered while this one waited for a connection.
+        # Another request's answer may have made it ineligible meanwhile.
         check(site, endpoint)
         yield conn
 
 
 def check(site: site_mod.Site, endpoint: endpoints.Endpoint) -> None:
-    """Raise Barred if nothing may be sent to an endpoint now."""
+    """Raise Barred if the endpoint is ineligible."""
     endpoint_notices.check_eligible(site.eligible, endpoint, site.loop_time())
 
 
@@ -52,10 +53,10 @@
     request_id: bytes | None = None,
     is_head: bool = False,
 ) -> message.Head:
-    """Send a request; returns once the head of its answer is there.
+    """Send a request; return once the head of its answer has arrived.
 
-    Raises ExchangeError where there is none, Barred if it may not be sent,
-    also where the endpoint names a rate and there is no `grant` for it.
+    Raises ExchangeError where there is no answer; Barred if the endpoint is
+    ineligible, or names a rate and there is no valid `grant`.
     """
     check(site, endpoint)
     site.grants.spend(endpoint, grant)
@@ -71,8 +72,8 @@
     )
     for bar in news:
         site.metrics.count("endpoints_ask", bar, endpoint.service)
-        # Those that wait find room elsewhere, or are refused now.
+        # Waiting requests choose another endpoint, or are refused now.
         site.room_changed.set()
-        # The others need not find it out by themselves.
+        # Tell the other gateways at once.
         site.loads_changed.set()
     return found
--- a/rackpost/gateway/forward.py
+++ b/rackpost/gateway/forward.py
@@ -1,4 +1,4 @@
-"""Requests to plain services: choose, send, repeat where that is right."""
+"""Requests to plain services: choose an endpoint, send, retry."""
 
 import asyncio
 
@@ -11,24 +11,24 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# Whoever was refused comes back after this long, in seconds, spread so
-# that a crowd does not come back at once.
+# Retry-After of refused requests, in seconds: a minimum and a random part that
+# spreads their retries.
 _COME_BACK_S = 0.25
 _COME_BACK_SPREAD_S = 0.5
-# A gateway that has just started hears of the endpoints within two of
-# their heartbeats (1.2 s each); who asks before then waits, in seconds.
+# After its start a gateway learns of the endpoints within two of their
+# heartbeats; requests wait for them this long, in seconds.
 _HEARD_S = 2.5
-# How often those that wait look for an endpoint, in seconds.
+# Interval at which waiting requests look for an endpoint, in seconds.
 _LOOK_S = 0.03
-# The same where it is known that there is none before, in seconds.
+# The same while no endpoint is available, in seconds.
 _LOOK_AGAIN_S = 0.25
 
 
 def come_back_s(call: call_mod.Call) -> float:
-    """When a refused client should come back, in seconds.
+    """Return when a refused client should retry, in seconds.
 
-    Not before an endpoint may be sent anything; where all name a rate, in
-    the order in which they were refused.
+    Not before an endpoint is available; where all endpoints name a rate,
+    retries are spaced at that rate.
     """
     site = call.site
     opens_s = _opens_s(call) or 0.0
@@ -56,7 +56,7 @@
 
 
 async def _send(call: call_mod.Call, endpoint: endpoints.Endpoint) -> bool:
-    """Send it there; whether the client has been answered."""
+    """Send the request; return whether the client has been answered."""
     site = call.site
     began = site.loop_time()
     site.chooser.candidates.record_selection(endpoint, began)
@@ -71,7 +71,10 @@
 
 
 def _comes_back(call: call_mod.Call, endpoint: endpoints.Endpoint) -> bool:
-    """Refuse a request that would be late, or make others late."""
+    """Refuse a request that would be late or delay others too much.
+
+    Returns whether it was refused.
+    """
     site = call.site
     now = site.loop_time()
     key = site.refused.key(call.route.name, call.req.target, call.req.body)
@@ -107,16 +110,16 @@
 
 
 def _role(call: call_mod.Call) -> types.Role:
-    """The role of the endpoints that make its answer."""
+    """Return the role of the endpoints that answer the request."""
     if call.service.engine is None:
         return types.Role.PLAIN
     return types.Role.DECODE
 
 
 def _opens_s(call: call_mod.Call) -> float | None:
-    """How long all endpoints still want nothing, in seconds.
+    """Return the time until an endpoint is available, in seconds.
 
-    None where there is none, or they don't say.
+    None where there is no endpoint, or the time is not known.
     """
     site = call.site
     return site.chooser.candidates.available_in_s(
@@ -132,7 +135,7 @@
 
 
 def _choose_in_turn(call: call_mod.Call) -> endpoints.Endpoint | None:
-    """As `_choose`, unless others that wait go first."""
+    """Do as `_choose`, unless other waiting requests are ahead."""
     line = call.site.line(call.service.name)
     if not line.may_check(_rank(call), call.site.loop_time()):
         return None
@@ -140,7 +143,10 @@
 
 
 def _own_per_s(call: call_mod.Call) -> float | None:
-    """Requests a second that endpoints take from here, if all name a rate."""
+    """Return this gateway's share of the rate that all endpoints name.
+
+    In requests a second; None if one of them names no rate.
+    """
     site = call.site
     return site.chooser.candidates.own_rate_per_s(
         call.service.name,
@@ -151,16 +157,16 @@
 
 
 async def _wait_for_one(call: call_mod.Call) -> endpoints.Endpoint | None:
-    """An endpoint that can be had soon enough; None if there is none."""
+    """Wait for an endpoint; None if none will be available in time."""
     return await _first_endpoint(call) or await _when_one_opens(call)
 
 
 async def _when_one_opens(call: call_mod.Call) -> endpoints.Endpoint | None:
-    """The first endpoint that takes a request again, when it is its turn.
+    """Wait until a back-off ends or a rate allows the next request.
 
-    After a back-off, or when its rate allows the next.  Who can still be
-    answered by it waits: a refusal would bring its caller back to the same
-    endpoints, with less time.  Who can't is told at once.
+    A refused caller would retry the same endpoints with less time left, so
+    that requests wait while they can still be answered in time.  Returns None
+    for those that can't.
     """
     site = call.site
     line = site.line(call.service.name)
@@ -169,8 +175,8 @@
             opens_s = _opens_s(call)
             if opens_s is None or _is_too_late(call, opens_s):
                 return None
-            # A hundred that wait must not keep a small VM busy; one that
-            # comes new meanwhile is found a little later.
+            # Bounds the CPU time of many waiting requests; an endpoint that
+            # appears meanwhile is used a little later.
             pause_s = min(max(opens_s, _LOOK_S), _LOOK_AGAIN_S)
             waiter.next_check_at = site.loop_time() + pause_s
             await asyncio.sleep(pause_s)
@@ -180,7 +186,7 @@
 
 
 def _is_too_late(call: call_mod.Call, opens_s: float) -> bool:
-    """Whether it can't be answered in time, of all that wait."""
+    """Whether the request would miss its deadline in the queue."""
     site = call.site
     name = call.service.name
     answer_s = site.chooser.median_answer_s(name, _role(call))
@@ -197,7 +203,7 @@
 async def _first_endpoint(
     call: call_mod.Call,
 ) -> endpoints.Endpoint | None:
-    """The first endpoint that a gateway hears of after its start."""
+    """Wait for the first endpoint known after the gateway's start."""
     site = call.site
     if call.tried:
         return None
@@ -209,7 +215,7 @@
 
 
 def goes_on(call: call_mod.Call, ended: retry_decision.AttemptEnd) -> bool:
-    """Whether to try again; if not, the client has been told."""
+    """Whether to retry; if not, the client has been answered."""
     now = call.site.loop_time()
     step = retry_decision.next_step(ended, call.situation(now))
     if step is retry_decision.NextStep.RETRY:
@@ -234,7 +240,7 @@
 
 
 def give_up(call: call_mod.Call, reason: call_mod.Reason) -> None:
-    """Nothing is left to try."""
+    """Answer the client after the last attempt."""
     if call.failure is not None and not call.responder.started:
         answer_relay.pass_whole(call, call.failure.head, call.failure.body)
     elif call.may_have_run:
--- a/rackpost/gateway/generate.py
+++ b/rackpost/gateway/generate.py
@@ -1,7 +1,7 @@
-"""Requests to model services: a decode place first, then the prefill.
+"""Requests to model services: reserve a decode endpoint, then prefill.
 
-A prefill's result lives for less than a second, so that a prompt is read
-only when a decode endpoint has room for it and a connection to it is up.
+A prefill's result expires within a second, so that the prompt is prefilled
+only once a decode endpoint has capacity and a connection to it is open.
 """
 
 import contextlib
@@ -20,21 +20,21 @@
 from rackpost.routing import endpoints
 from rackpost.routing import model
 
-# A refusal reaches its client so long before the client would leave, in
-# seconds.
+# A refusal is sent this long before the client would leave, in seconds.
 _BEFORE_LEAVING_S = 0.1
-# Of an answer's tokens, the part that a run takes room for on the average:
-# half of them would be there if nothing were kept for the rest.
+# Average share of an answer's tokens for which memory is held while it is
+# generated: half would be used, and the rest is reserved.
 _KEPT_SHARE = 0.75
-# A request whose connection broke goes on at the same endpoint so often; an
-# endpoint that breaks it again is not well.
+# Times that a request is resumed at the endpoint where its connection broke;
+# another break there means that the endpoint is unhealthy.
 _KEPT_TRIES = 2
-# The pace of a stream is seen after so many events, until one has ended.
+# Events after which a running stream counts for the decode timing, while no
+# stream has ended yet.
 _EVENTS_SEEN = 4
 
 
 class Generation:
-    """A request to a model, from waiting for room to its end."""
+    """A request to a model service, from admission to its end."""
 
     def __init__(self, *, call: call_mod.Call, engine: model.Engine) -> None:
         self._call = call
@@ -49,13 +49,15 @@
         site = call.site
         book = site.refused
         self._key = book.key(call.route.name, part, call.req.body)
-        # Its time counts from its client's first try, so that one that was
-        # refused before is late.
+        # A refused request is late from the start when it is sent again: its
+        # time counts from the first attempt.
         self._came_back = book.was_refused(self._key, call.began)
         self._read = prefill.Prefilled(call=call)
-        # No prefill endpoint has read it: wait for a turn at a decode one.
+        # Whether prefill endpoints have failed: the prompt is to be prefilled
+        # in place.
         self._in_place = False
-        # Where its last run broke, and how often it went on there.
+        # The endpoint where the last connection broke, and the number of times
+        # that the request was resumed at such an endpoint.
         self._broke_at: endpoints.Endpoint | None = None
         self._kept_tries = 0
         self._progress = self._new_progress()
@@ -96,10 +98,10 @@
                 self._broke_at = place.endpoint
 
     def _kept_place(self) -> reservation_mod.DecodeReservation | None:
-        """The place of a run whose connection broke, if it may be kept.
+        """Reserve the endpoint whose connection broke, if it may be reused.
 
-        An endpoint that is well still has the KV cache: going on there
-        reads nothing anew, where another endpoint reads the whole prompt.
+        A healthy endpoint still has the KV cache; any other endpoint needs the
+        whole prompt prefilled again.
         """
         endpoint, self._broke_at = self._broke_at, None
         if endpoint is None or self._kept_tries >= _KEPT_TRIES:
@@ -135,7 +137,7 @@
         return on_event
 
     def _note_start(self, place: reservation_mod.DecodeReservation) -> None:
-        """The first event has come; learn from how long it took."""
+        """Learn from the time to the first event."""
         if place.prefill_endpoint is not None:
             site = self._call.site
             site.pace.record_start(
@@ -143,10 +145,10 @@
             )
 
     def _note_demand(self) -> None:
-        """Count what this request asks of each role of endpoint."""
+        """Count what the request demands of each role of endpoint."""
         site = self._call.site
         out = self._progress.run.remaining_tokens
-        # Room is kept for more than the mean of what a run holds.
+        # More memory is reserved than a run holds on average.
         held = self._prompt + _KEPT_SHARE * out
         share = max(
             held / max(1, self._engine.memory_tokens),
@@ -178,7 +180,7 @@
             priority=call.priority,
             target=self._target(),
             start_by=self._start_by(),
-            # One that a planned stop would cut off is not begun.
+            # A request that the planned stop would interrupt is not started.
             deadline=min(call.until, call.site.planned_stop.ends_at),
             gateway_stopping=call.site.planned_stop.is_under_way,
             refused_before=self._came_back,
@@ -196,7 +198,8 @@
         call = self._call
         if not call.route.silence_s:
             return call.until
-        # Within a stream, silence begins with the event that was last.
+        # In a started stream the client's silence limit counts from the last
+        # event.
         began = call.began
         if call.responder.started:
             began = call.site.loop_time()
@@ -212,7 +215,8 @@
             async with contextlib.AsyncExitStack() as stack:
                 enter = stack.enter_async_context
                 conn = await enter(attempt.connected(call, decode))
-                # No prompt is read for an endpoint whose rate is used up.
+                # The grant comes first, so that no prompt is prefilled for an
+                # endpoint whose rate is used up.
                 grant = await enter(attempt.granted(call, decode))
                 if not await self._can_run(place):
                     self._in_place = True
@@ -231,7 +235,7 @@
         return ended
 
     def _note_made(self, took_s: float) -> None:
-        """The whole answer was made; learn from it."""
+        """Learn from a complete answer."""
         site = self._call.site
         made = self._progress.generated_tokens
         self._read.taken()
@@ -239,14 +243,18 @@
         site.lengths.record_answer(guess=self._guess, actual=made)
 
     async def _can_run(self, place: reservation_mod.DecodeReservation) -> bool:
-        """Whether the prompt is read, or it is its turn to be in place."""
+        """Prefill the prompt; return whether decode may start.
+
+        False if no prefill endpoint succeeded: the request then has to wait
+        for a prefill in place.
+        """
         if self._read.is_fresh(self._engine):
             return True
         self._read.release()
         if place.prefill_endpoint is None or self._prompt == 0:
             return True
         await self._prefill(place)
-        # The prefill endpoint's turn has ended, however it went.
+        # Release the prefill endpoint, also after a failure.
         place.record_prefilled()
         return self._read.is_fresh(self._engine)
 
@@ -255,7 +263,7 @@
         now = call.site.loop_time()
         first = not self._read.arrivals and not call.sent
         left = call.budget.remaining(now, call.site.gateway_count)
-        # A second reading elsewhere is one more arrival than one in place.
+        # A second prefill elsewhere is one more arrival than one in place.
         if first or left >= 2.0:
             await prefill.prefill(
                 call, place.prefill_endpoint, self._prompt, self._read
@@ -270,7 +278,7 @@
     def _refuse_full(self, full: reservation_mod.NoCapacity) -> None:
         call = self._call
         if self._would_be_cut() and not call.may_have_run:
-            # Nothing is full: others take it at once, and as a new one.
+            # Other gateways can serve it at once, and as a new request.
             call.refuse(call_mod.Reason.STOPPING, call_mod.ELSEWHERE_S)
             return
         call.log(
--- a/rackpost/gateway/handler.py
+++ b/rackpost/gateway/handler.py
@@ -1,4 +1,4 @@
-"""From a client's request to its route, within its time."""
+"""Finds the route of a client's request and answers it in time."""
 
 import asyncio
 import math
@@ -17,21 +17,19 @@
 from rackpost.routing import match
 from rackpost.routing import model
 
-# A gateway that has just started gets its document this soon, in seconds:
-# coordinators that started with it tell it within 0.6 s.  Who asks earlier
-# waits for it; refused they come back once, mostly too early again.
+# A gateway receives its routing document within this time after its start, in
+# seconds; earlier requests wait for it.
 _DOCUMENT_S = 2.0
-# With no document after that, clients come back after this, in seconds.
+# Retry-After where there is still no document, in seconds.
 _NO_DOCUMENT_S = 0.5
-# So many may wait for the document; their bodies are in memory.
+# Bounds the requests whose bodies are in memory meanwhile.
 _MOST_WAITING = 256
-# What an answer needs to reach its client, in seconds: several times the
-# usual delay on the way (3 ms).
+# Time for an answer to reach its client, in seconds.
 _WAY_BACK_S = 0.03
-# Of requests without a known key one is logged in this long, in seconds.
+# Interval between log lines on requests without a known key, in seconds.
 _NO_KEY_S = 1.0
-# Who was over a quota comes back when there is room, later by up to this
-# part so that they do not meet, and not at once, in seconds.
+# Retry-After of requests over quota: spread by up to this share, and at least
+# this many seconds.
 _QUOTA_SPREAD = 0.5
 _QUOTA_SOONEST_S = 0.4
 
@@ -72,7 +70,7 @@
     async def _first_routes(
         self, req: message.Request, now: float
     ) -> match.RouteTable | None:
-        """The routes of a gateway that has just started, when they come."""
+        """Wait for the routing document after the gateway's start."""
         site = self._site
         until = min(site.began + _DOCUMENT_S, now + _client_s(req))
         if until <= now or self._waiting >= _MOST_WAITING:
@@ -88,7 +86,7 @@
         return site.routes
 
     def _note_no_key(self, req: message.Request, route: model.Route) -> None:
-        """Count each; who tries keys does not fill the log."""
+        """Count a request without a known key; log only some of them."""
         reason = call_mod.Reason.NO_KEY
         self._site.metrics.count("own_answers", reason, route.name)
         more = self._no_keys.passes(self._site.loop_time())
@@ -123,7 +121,7 @@
     ) -> None:
         until = began + min(route.timeout_s, _client_s(req))
         if not self._site.planned_stop.may_begin(until):
-            # Begun now it might be cut off at the end of the grace time.
+            # It might be interrupted at the end of the grace time.
             self._own(call_mod.Reason.STOPPING, req)
             call_mod.refuse(responder, call_mod.ELSEWHERE_S)
             return
@@ -147,7 +145,7 @@
                 call.charge.end(self._site.loop_time())
 
     def _is_over_quota(self, call: call_mod.Call) -> bool:
-        """Refuse what is over its organisation's quota; else charge it."""
+        """Refuse a request over its organisation's quota, else charge it."""
         item = call.caller.organisation
         if item is None or item.quota is None:
             return False
@@ -214,9 +212,9 @@
 
 
 def _client_s(req: message.Request) -> float:
-    """How long the client waits for its answer, in seconds."""
+    """Return how long the client waits for its answer, in seconds."""
     told = headers.whole(message.find(req.headers, headers.DEADLINE_MS))
     if told is None:
         return math.inf
-    # The answer should be there before the client gives up.
+    # Leave time for the answer to arrive.
     return max(0.0, told / 1000.0 - _WAY_BACK_S)
--- a/rackpost/gateway/load_exchange.py
+++ b/rackpost/gateway/load_exchange.py
@@ -1,8 +1,8 @@
-"""Gateways tell each other what they have under way, by datagrams.
+"""Exchanges load reports between gateways, by datagrams.
 
-A lost one costs little: figures are whole, and told again with each
-change and at least once a second.  Grants of endpoints' rates
-(`rate_grants.py`) go the same way.
+Each report is complete and repeated with each change and at least once a
+second, so that a lost datagram does little harm.  Grants of endpoints' rates
+(`rate_grants.py`) use the same socket.
 """
 
 import asyncio
@@ -19,14 +19,13 @@
 from rackpost.link import codec
 from rackpost import logs
 
-# Changes that come together are told together, in seconds: a part for each
-# gateway, so that all together receive no more with their number.  While a
-# change is not told others give the same room away: in a crowd of 30
-# generations a second onto twelve endpoints, figures that are 54 ms old make
-# twice as many runs preempted as figures of 13 ms (rackpost.testing.fleet).
+# Changes are batched for this long, in seconds: a fixed part and one per
+# gateway, which bounds the datagrams that a gateway receives.  The delay has
+# to stay short, as until the report arrives other gateways may reserve the
+# same capacity.
 _GATHER_S = 0.006
 _GATHER_EACH_S = 0.0001
-# Figures are told again after this long without a change, in seconds.
+# Longest time between two reports, in seconds.
 _AGAIN_S = 1.0
 _LIFE_BITS = 48
 
@@ -34,12 +33,12 @@
 
 
 def batching_delay_s(gateways: int) -> float:
-    """How long changes are gathered before they are told, in seconds."""
+    """Return how long changes are batched before a report, in seconds."""
     return _GATHER_S + _GATHER_EACH_S * gateways
 
 
 class LoadExchange(asyncio.DatagramProtocol):
-    """Tells own figures and takes those of others."""
+    """Sends this gateway's load reports and receives those of others."""
 
     def __init__(self, *, site: site_mod.Site) -> None:
         self._site = site
@@ -51,7 +50,7 @@
         self._address = f"{host.ip}:{port}"
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Another gateway tells its figures."""
+        """Handle a load report or a message about grants."""
         try:
             msg = _DECODER.decode(data)
         except exceptions.CodecError as exc:
@@ -79,7 +78,7 @@
         )
         site.refused.receive(msg.refused_keys, now)
         if site.quotas.receive(msg.vm, msg.incarnation, msg.quotas, now):
-            # It should know soon what has been spent.
+            # The sender lacks recent quota use of this gateway.
             site.loads_changed.set()
         for endpoint in msg.rejecting:
             site.health.record_reported_full(endpoint, now)
@@ -111,7 +110,7 @@
                 self._transport.sendto(data, address.split(item.load_address))
 
     def _tellable(self) -> list[messages.GatewayAddress]:
-        """The other gateways that choose among the same endpoints."""
+        """Return the other gateways that use the same endpoints."""
         me = self._site.host.vm
         group = self._site.group
         return [
@@ -139,7 +138,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Tell and take figures until the block ends."""
+        """Send and receive reports until the block ends."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=address.split(self._address)
--- a/rackpost/gateway/planned_stop.py
+++ b/rackpost/gateway/planned_stop.py
@@ -1,21 +1,21 @@
-"""A planned stop of a gateway: when it ends, and what it still begins."""
+"""The planned stop of a gateway, and which requests it still starts."""
 
 import math
 
 
 class PlannedStop:
-    """Lets all begin at first, later only what surely ends in time.
+    """Accepts all requests at first, later those that end in time.
 
     Times are readings of the loop's clock, in seconds.
     """
 
     def __init__(self) -> None:
-        # When the stop ends at the latest; never while none is under way.
+        # The latest end of the stop; infinite while no stop has begun.
         self.ends_at = math.inf
         self._is_closed = False
 
     def begin(self, ends_at: float) -> None:
-        """A stop has begun, which ends by then."""
+        """Begin a stop that ends at `ends_at` at the latest."""
         self.ends_at = ends_at
 
     @property
@@ -24,9 +24,9 @@
         return self.ends_at < math.inf
 
     def close(self) -> None:
-        """Begin no more what might be cut off at the end."""
+        """Accept no more requests that the end might interrupt."""
         self._is_closed = True
 
     def may_begin(self, until: float) -> bool:
-        """Whether a request that ends by `until` is still begun."""
+        """Whether a request with the deadline `until` is accepted."""
         return not self._is_closed or until <= self.ends_at
--- a/rackpost/gateway/policy.py
+++ b/rackpost/gateway/policy.py
@@ -1,7 +1,6 @@
-"""What a gateway may be told to leave out, to see what it is worth.
+"""Settings that switch off parts of the routing decisions.
 
-These are for comparisons on a test site; a site that serves callers
-leaves them as they are.
+They are for comparisons on a test site; production sites keep the defaults.
 """
 
 from typing import Mapping
@@ -16,11 +15,11 @@
 
 
 class Policy(msgspec.Struct, frozen=True, kw_only=True):
-    """Parts of the decisions that can be left out.
+    """Parts of the routing decisions that can be switched off.
 
     Attributes:
-        split: prompts are read at prefill endpoints where there are any.
-        share: gateways tell each other what they have under way.
+        split: prompts go to prefill endpoints where there are any.
+        share: gateways report their load to each other.
     """
 
     split: bool = True
@@ -28,7 +27,10 @@
 
 
 def from_environment(environ: Mapping[str, str]) -> Policy:
-    """The policy that environment variables ask for; `yes` if unset."""
+    """Return the policy set by environment variables; unset means `yes`.
+
+    Raises ConfigError for any other value than `yes` and `no`.
+    """
     return Policy(
         split=_is_on(environ, SPLIT_VARIABLE),
         share=_is_on(environ, SHARE_VARIABLE),
--- a/rackpost/gateway/prefill.py
+++ b/rackpost/gateway/prefill.py
@@ -1,4 +1,4 @@
-"""Having a prompt read by a prefill endpoint, for a decode elsewhere."""
+"""Prefill of a prompt at a prefill endpoint, for a decode elsewhere."""
 
 import asyncio
 import contextlib
@@ -17,24 +17,23 @@
 from rackpost import types
 
 _MAX_RESULT = 64 << 10
-# Prefill endpoints that are tried before the decode endpoint reads itself.
+# Prefill endpoints tried before the decode endpoint prefills itself.
 _TRIES = 2
-# A first reading is no repeat unless the endpoint turns it away, which is
-# known some milliseconds later.  While none does, so many more may be under
-# way at a gateway than its part of the retry budget allows: of 68 gateways
-# each has two repeats in ten seconds, and a prompt that is read where tokens
-# are made holds up eight streams there for longer than they may pause.
+# A first prefill costs no retry unless the endpoint refuses it, which shows
+# within milliseconds.  While no prefill is refused, this many more may be in
+# flight than the gateway's share of the retry budget allows: in a large fleet
+# the share is small, and prefills in place stall running streams.
 _MOST_UNSETTLED = 3
-# Part of a result's life in which it is still worth fetching.
+# Share of a result's lifetime in which a decode endpoint can fetch it.
 _FRESH_SHARE = 0.7
 
 
 class Prefilled:
-    """Where a request's prompt has been read, if it has."""
+    """The result of a request's prefill, if there is one."""
 
     def __init__(self, *, call: call_mod.Call) -> None:
         self._call = call
-        # Calls to read the prompt that an endpoint has, or may have, taken.
+        # Prefill requests that an endpoint ran or may have run.
         self.arrivals = 0
         self._reader: endpoints.Endpoint | None = None
         self._read_at = 0.0
@@ -43,7 +42,7 @@
     def put(
         self, reader: endpoints.Endpoint, result: wire.PrefillResult
     ) -> None:
-        """A prefill endpoint has read the prompt."""
+        """Store the result of a prefill endpoint."""
         self._reader = reader
         self._read_at = self._call.site.loop_time()
         self._result = result
@@ -54,22 +53,22 @@
             return False
         age = self._call.site.loop_time() - self._read_at
         fresh = age < _FRESH_SHARE * engine.handle_ttl_s
-        # A reader that has started again since holds nothing of it.
+        # A restarted prefill endpoint has lost the KV cache.
         return fresh and not self._call.site.table.has_restarted(self._reader)
 
     def headers(self) -> list[message.Header]:
-        """What tells a decode endpoint where the KV cache is."""
+        """Return the header that tells a decode endpoint where to fetch it."""
         if self._reader is None or self._result is None:
             return []
         place = wire.source(self._reader.address, self._result)
         return [(headers.KV_SOURCE, place)]
 
     def taken(self) -> None:
-        """A decode endpoint has fetched the KV cache."""
+        """Record that a decode endpoint has fetched the KV cache."""
         self._result = None
 
     def release(self) -> None:
-        """Free the KV cache, which no decode endpoint has taken."""
+        """Free a KV cache that no decode endpoint has fetched."""
         if self._reader is not None and self._result is not None:
             self._call.site.spawn(
                 _delete(self._call, self._reader, self._result)
@@ -88,7 +87,7 @@
         [(b"host", reader.address.encode())],
     )
     if call.site.grants.requires_grant(reader):
-        # What it takes is for prompts.
+        # The named rate is left to prompts.
         call.log("KV cache not released.", why="names a rate")
         return
     try:
@@ -98,12 +97,12 @@
             )
             await conn.read_whole(_MAX_RESULT)
     except exceptions.ExchangeError as exc:
-        # It lapses by itself soon.
+        # It expires soon.
         call.log("KV cache not released.", why=str(exc))
 
 
 class _Ended(enum.Enum):
-    """How a call to read a prompt ended."""
+    """How a prefill request ended."""
 
     READ = "read"
     REJECTED = "rejected"
@@ -117,9 +116,9 @@
     prompt: int,
     read: Prefilled,
 ) -> None:
-    """Have the prompt read; where that fails, decode reads it itself.
+    """Prefill the prompt; without a result the decode endpoint does it.
 
-    `reader` is tried first; its turn to read the prompt is held already.
+    `reader` is tried first; its capacity is reserved already.
     """
     site = call.site
     tried: list[types.EndpointId] = []
@@ -140,8 +139,8 @@
             return
         held = prompt if endpoint is reader else 0
         tried.append(endpoint.id)
-        # Counted as a repeat until it is known to be none: of many that
-        # are sent at once all may be rejected, and those count.
+        # Counts as a retry until it is known not to be one: all of many
+        # concurrent requests may be refused, and those count.
         call.budget.record_retry(now)
         ended = await _prefill_at(call, endpoint, prompt, held, read)
         if _is_free(ended, read):
@@ -154,7 +153,7 @@
 
 
 def _may_read(call: call_mod.Call, read: Prefilled, now: float) -> bool:
-    """Whether the retry budget allows one more reading elsewhere."""
+    """Whether the retry budget allows one more prefill elsewhere."""
     site = call.site
     if call.budget.allows(now, site.gateway_count):
         return True
@@ -168,7 +167,7 @@
 
 
 def _is_free(ended: _Ended, read: Prefilled) -> bool:
-    """Whether a call was no repeat: the first that an endpoint took up."""
+    """Whether the request was no retry: the first one that was run."""
     if ended is _Ended.READ:
         return read.arrivals == 0
     return ended is _Ended.NOT_SENT
@@ -181,7 +180,7 @@
     held: int,
     read: Prefilled,
 ) -> _Ended:
-    """Read a prompt there; `held` tokens of it are counted already."""
+    """Prefill at one endpoint; `held` tokens are counted there already."""
     site = call.site
     began = site.loop_time()
     ahead = site.loads.total(endpoint.id).prompt_tokens - held
@@ -216,7 +215,7 @@
 def _counted(
     call: call_mod.Call, endpoint: endpoints.Endpoint, prompt: int
 ) -> contextlib.AbstractContextManager[None]:
-    """Count a prompt at an endpoint, unless it is counted already."""
+    """Count a prompt in an endpoint's load, unless it is counted."""
     if prompt == 0:
         return contextlib.nullcontext()
     return call.site.loads.request_added(endpoint.id, prompt=prompt)
--- a/rackpost/gateway/process.py
+++ b/rackpost/gateway/process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process: its listeners, its links, its planned stop."""
+"""The gateway process: its listeners, its links, its planned stop."""
 
 import asyncio
 import contextlib
@@ -19,15 +19,14 @@
 from rackpost.platform import paths
 from rackpost.platform import settings
 
-# The balancer asks each second and takes a gateway out after two misses;
-# until then it still brings new connections.
+# The load balancer probes each second and removes a gateway after two
+# failures; until then it sends new connections.
 _NOTICED_S = 3.0
-# What is left of the grace time for ending, in seconds: links are closed
-# with a word, which takes up to 0.3 s on a silent one.
+# Part of the grace time reserved for closing links, in seconds.
 _END_S = 1.0
 _STEP_S = 0.05
-# A gateway that has started waits so long for news of endpoints, which
-# send heartbeats every second or so, before it is ready without any.
+# A started gateway waits this long for endpoints before it reports ready
+# without any, in seconds.
 _ENDPOINTS_S = 5.0
 _SWEEP_S = 1.0
 
@@ -52,7 +51,7 @@
         self._began = self.site.loop_time()
 
     def is_ready(self) -> bool:
-        """Whether new connections are welcome here."""
+        """Whether the load balancer may send new connections."""
         ready = self._knows_enough() and not self.stopping
         if ready != self._ready:
             self._ready = ready
@@ -65,14 +64,14 @@
         return ready
 
     def _knows_enough(self) -> bool:
-        """Whether routes are there, and endpoints if there are any."""
+        """Whether there are routes, and endpoints if the site has any."""
         if self.site.routes is None:
             return False
         waited = self.site.loop_time() - self._began
         return bool(self.site.table.alive) or waited > _ENDPOINTS_S
 
     def reload(self, host: settings.HostSettings) -> None:
-        """Take new settings: other seeds."""
+        """Apply new settings: other seeds."""
         self._links.reload(host)
         logs.say(
             logs.Part.GATEWAY, "Settings reloaded.", seeds=list(host.seeds)
@@ -136,7 +135,7 @@
         return 200, self.site.metrics.text()
 
     async def stop(self) -> None:
-        """End what runs, take nothing new once the balancer knows."""
+        """Drain: finish running requests and refuse new ones."""
         began = self.site.loop_time()
         self.stopping = True
         self._server.stopping = True
@@ -150,7 +149,7 @@
         )
 
     async def _end_what_runs(self, began: float) -> None:
-        """Wait until all is answered, up to the end of the grace time."""
+        """Wait until no request runs, up to the end of the grace time."""
         stop = self.site.planned_stop
         stop.begin(began + self._host.bounds.grace_s - _END_S)
         while (now := self.site.loop_time()) < stop.ends_at:
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -1,4 +1,8 @@
-"""Grants of endpoints' rates: asked of their owners, and given by them."""
+"""Grants to send requests to endpoints that name a rate.
+
+Each rate has one gateway as its owner.  The others request grants from the
+owner by datagrams.
+"""
 
 import asyncio
 import contextlib
@@ -24,19 +28,18 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# An owner answers within this, in seconds: some round trips between the data
-# centres that are farthest apart.  Then other endpoints are used.
+# An owner answers within this, in seconds: some round trips between distant
+# data centres.  Afterwards other endpoints are used.
 _ANSWER_S = 0.12
-# A gateway that has told nothing for this long owns no rate, in seconds:
-# figures are told each second, and one telling may be lost.
+# A gateway without a load report for this long owns no rate, in seconds;
+# reports come each second, and one may be lost.
 _SILENT_S = 2.5
-# A grant is for a request that is sent soon, in seconds: time for a prompt to
-# be read first, and no more, as what is kept longer adds to a later window.
+# Lifetime of a grant, in seconds: enough for a prefill.  A longer one would
+# let sends slip into a later window of the rate.
 _FRESH_S = 1.0
-# What has not been asked for in this long is forgotten, in seconds.
+# Unused grant accounts are dropped after this, in seconds.
 _KEEP_S = 30.0
-# Between two lines on one endpoint, in seconds: each request that is not sent
-# has a line of its own.
+# Least time between two log lines on one endpoint, in seconds.
 _LINE_S = 1.0
 _NUMBER_BITS = 32
 
@@ -47,7 +50,7 @@
 
 
 class _Asked(enum.Enum):
-    """What became of asking for a grant, for the metrics."""
+    """How a request for a grant ended, for the metrics."""
 
     GRANTED = "granted"
     USED_UP = "used up"
@@ -55,7 +58,7 @@
 
 
 class Grant:
-    """The word that one request may be sent to an endpoint, once and soon."""
+    """A grant to send one request to an endpoint, valid once and briefly."""
 
     def __init__(
         self,
@@ -70,13 +73,13 @@
         self.is_spent = False
 
     def is_for(self, endpoint: endpoints.Endpoint, now: float) -> bool:
-        """Whether a request may be sent there by it now."""
+        """Whether the grant is valid for a request to this endpoint now."""
         same = self.endpoint.incarnation == endpoint.incarnation
         return same and not self.is_spent and now < self._at + _FRESH_S
 
 
 class RateGrants:
-    """One gateway's grants, those it asks for and those it gives."""
+    """The grants that one gateway requests, and those that it decides."""
 
     def __init__(
         self,
@@ -96,26 +99,27 @@
         self._metrics = metrics
         self._book = rate_grants.GrantLedger(rng=rng)
         self._gateways: dict[types.VmId, messages.GatewayAddress] = {}
-        # Answers to those of an earlier life of this gateway are for nobody.
+        # A random start, so that answers to an earlier incarnation of this
+        # gateway match no request.
         self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
         self._asked: dict[int, asyncio.Future[messages.GrantAnswer]] = {}
         self._pauses = logs.Pauses(pause_s=_LINE_S)
-        # Set by who holds the socket.
+        # Set by LoadExchange, which owns the socket.
         self.send: Send = _nowhere
 
     def set_gateways(self, found: Iterable[messages.GatewayAddress]) -> None:
-        """The gateways that may own a rate."""
+        """Set the gateways that may own a rate."""
         self._gateways = {item.vm: item for item in found}
 
     def sweep(self) -> None:
-        """Forget what is over."""
+        """Drop expired state."""
         self._eligible.forget_rates()
         self._book.forget(self._loop.time() - _KEEP_S)
 
     def receive_rate(
         self, told: endpoint_rates.RateUpdate, now: float
     ) -> None:
-        """Another gateway tells what an endpoint's answers named."""
+        """Record an endpoint's rate that another gateway reports."""
         if not self._eligible.rates.receive(told, now):
             return
         logs.say(
@@ -128,13 +132,14 @@
         )
 
     def requires_grant(self, endpoint: endpoints.Endpoint) -> bool:
-        """Whether a request there needs a grant."""
+        """Whether requests to the endpoint need a grant."""
         return self._eligible.rates.per_s(endpoint) is not None
 
     def spend(self, endpoint: endpoints.Endpoint, grant: Grant | None) -> None:
-        """A request is about to be written; Barred without a grant.
+        """Use up a grant for a request that is about to be sent.
 
-        Where a rate was named since the grant was to be asked for, too.
+        Raises Barred without a valid grant where one is needed, also if the
+        rate was named only after the grant was to be acquired.
         """
         if not self.requires_grant(endpoint):
             return
@@ -146,9 +151,10 @@
     async def acquire(
         self, endpoint: endpoints.Endpoint, *, priority: int, waits: bool
     ) -> AsyncIterator[Grant | None]:
-        """A grant to send one request, given back if it is not spent.
+        """Acquire a grant for one request; release it if it is not spent.
 
-        None where none is needed; raises Barred where there is none.
+        Yields None where none is needed.  Raises Barred where none is
+        available.
         """
         grant = None
         if self.requires_grant(endpoint):
@@ -234,11 +240,11 @@
             self.send(codec.encode(msg), address.split(known.load_address))
 
     def _rate(self, key: endpoints.Incarnation) -> endpoint_rates.RateUpdate:
-        """What is known here of a rate."""
+        """Return what this gateway knows of a rate."""
         return self._eligible.rates.update_for(key, self._loop.time())
 
     def receive(self, msg: Message, sender: address.Address) -> None:
-        """A message of another gateway."""
+        """Handle a message of another gateway."""
         if isinstance(msg, messages.GrantRequest):
             self._answer(msg, sender)
         elif isinstance(msg, messages.GrantAnswer):
@@ -270,13 +276,13 @@
         wish: rate_grants.GrantApplicant,
         now: float,
     ) -> rate_grants.GrantDecision:
-        """What the owner says, if this gateway is the owner."""
+        """Return the owner's decision on a request for a grant."""
         per_s = self._rate(key).per_s
         if per_s is None:
-            # It has ended, and the asker is told so.
+            # The endpoint names no rate any more; the answer says so.
             return rate_grants.GrantDecision(granted=True)
         if self._owner(key.id, now) != self._vm:
-            # Two do not agree yet on who there is.
+            # The gateways do not agree yet on the owner.
             return rate_grants.GrantDecision(granted=False, wait_s=_ANSWER_S)
         return self._book.decide(
             key,
@@ -300,10 +306,10 @@
         return rate_grants.owner(key, self._heard(now))
 
     def _heard(self, now: float) -> list[types.VmId]:
-        """Gateways that may own a rate, this one included.
+        """Return the gateways that may own a rate, this one included.
 
-        Those of other groups tell this one nothing: they count as long as
-        coordinators tell of them.
+        Gateways of other groups send no load reports here; they count while
+        the coordinators list them.
         """
         since = now - _SILENT_S
         heard = [
@@ -318,10 +324,10 @@
         return [self._vm, *heard]
 
     def _share(self, now: float) -> float:
-        """The part of all gateways that is heard, this one included."""
+        """Return the share of all gateways that may own a rate."""
         known = len(set(self._gateways) | {self._vm})
         return len(self._heard(now)) / known
 
 
 def _nowhere(data: bytes, addr: address.Address) -> None:
-    """There is no socket yet."""
+    """Drop a datagram: there is no socket yet."""
--- a/rackpost/gateway/reservation.py
+++ b/rackpost/gateway/reservation.py
@@ -1,4 +1,4 @@
-"""What a generation wants of a decode endpoint, and the place it gets."""
+"""What a generation needs of a decode endpoint, and its reservation there."""
 
 from typing import Callable
 from typing import Sequence
@@ -12,13 +12,15 @@
 
 
 class ReservationRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a generation needs.
+    """The needs of one generation.
 
     Attributes:
-        memory_tokens: KV memory of each endpoint, in tokens.
-        exclude: endpoints that it has tried.
-        event_interval_s: how long an endpoint takes for one event of a stream.
-        in_place: its prompt was not to be read elsewhere.
+        memory_tokens: KV memory of each decode endpoint, in tokens.
+        run: the KV memory that the generation will use over time.
+        exclude: endpoints that must not be chosen.
+        claim: the deadlines and the priority of the request.
+        event_interval_s: expected time between two events of a stream.
+        in_place: the prompt must be prefilled at the decode endpoint.
     """
 
     service: types.ServiceName
@@ -31,17 +33,22 @@
 
 
 class NoCapacity(msgspec.Struct, frozen=True, kw_only=True):
-    """No room soon enough; when to come back, in seconds."""
+    """No decode endpoint will have capacity in time.
+
+    Attributes:
+        retry_after_s: when the caller should retry, in seconds.
+        expected_wait_s: how long the request would have waited.
+    """
 
     retry_after_s: float
     expected_wait_s: float
 
 
 class DecodeReservation:
-    """Room at an endpoint, until released.
+    """Capacity at a decode endpoint, held until released.
 
-    `prefill_endpoint` is the prefill endpoint that reads the prompt first;
-    without one it is the endpoint's own turn to read it.
+    With `prefill_endpoint` the prompt is prefilled there first; without it, at
+    the decode endpoint itself.
     """
 
     def __init__(
@@ -54,10 +61,12 @@
         changed: Callable[[], None],
         reserved_at: float,
     ) -> None:
-        """`free` gives the room back and `end_turn` the reader's turn.
+        """Take over capacity that is reserved already.
 
-        `changed` is called when there may be more room; `reserved_at` is the
-        clock reading at which the place was given.
+        `free` releases the capacity at the decode endpoint, and `end_turn` the
+        share of the endpoint that prefills.  `changed` is called when capacity
+        may have become available.  `since` is the loop's clock at the time of
+        the reservation.
         """
         self.endpoint = endpoint
         self.reserved_at = reserved_at
@@ -68,14 +77,17 @@
         self._is_read = False
 
     def record_prefilled(self) -> None:
-        """The prompt has been read, if it was not before."""
+        """Release the endpoint that prefills, once the prompt is prefilled.
+
+        Further calls have no effect.
+        """
         if not self._is_read:
             self._is_read = True
             self._end_turn()
             self._changed()
 
     def release(self) -> None:
-        """The generation has ended here."""
+        """Release all capacity; the generation has ended here."""
         self.record_prefilled()
         self._free()
         self._changed()
--- a/rackpost/gateway/routing_updates.py
+++ b/rackpost/gateway/routing_updates.py
@@ -1,4 +1,4 @@
-"""A gateway's routing document, kept up to date from the coordinators."""
+"""Keeps a gateway's routing document up to date from the coordinators."""
 
 import asyncio
 import enum
@@ -13,7 +13,7 @@
 
 
 class _Asks(enum.Enum):
-    """Parts of documents that were asked for: first, or once more."""
+    """Whether a request for a chunk was the first or a retry."""
 
     FIRST = "first"
     AGAIN = "again"
@@ -24,9 +24,9 @@
 
 
 class RoutingUpdates:
-    """Asks for what is newer, and puts it in force.
+    """Requests newer routing documents and applies them.
 
-    The highest version holds, whoever told it.
+    The highest version counts, whichever coordinator sent it.
     """
 
     def __init__(self, *, site: site_mod.Site) -> None:
@@ -38,19 +38,19 @@
         self._hosts: dict[channel.Channel, str] = {}
 
     def told(self, conn: channel.Channel, host: str, version: int) -> None:
-        """The coordinator at the end of a link holds this version."""
+        """Record the version that a linked coordinator has."""
         self._hosts[conn] = host
         self._fetch.record_version(conn, version)
         self._ask()
 
     def lost(self, conn: channel.Channel) -> None:
-        """A link has ended."""
+        """Record that a link has ended."""
         self._hosts.pop(conn, None)
         self._fetch.remove_peer(conn)
         self._ask()
 
     def _ask(self) -> None:
-        """Ask for the next part of a newer document, if one is due."""
+        """Request the next chunk of a newer document, if one is due."""
         ask = self._fetch.next_request(
             have=self._site.version, now=self._loop.time()
         )
@@ -64,7 +64,7 @@
     ) -> None:
         self._site.metrics.count("document_asks", _Asks.of(ask.is_retry))
         if ask.msg.offset and not ask.is_retry:
-            # One line a transfer is enough where nothing goes wrong.
+            # One log line per transfer is enough without retries.
             return
         logs.say(
             logs.Part.GATEWAY,
@@ -84,7 +84,7 @@
             self._timer = self._loop.call_at(self._fetch.wake_at, self._ask)
 
     def take(self, conn: channel.Channel, part: messages.RoutingChunk) -> None:
-        """A part has come over a link."""
+        """Handle a chunk that came over a link."""
         arrived = self._fetch.receive(conn, part, self._loop.time())
         if arrived is not None:
             self._on_change(part, arrived)
@@ -122,6 +122,6 @@
             )
 
     def close(self) -> None:
-        """Ask for nothing more."""
+        """Send no more requests."""
         if self._timer is not None:
             self._timer.cancel()
--- a/rackpost/gateway/site.py
+++ b/rackpost/gateway/site.py
@@ -1,4 +1,4 @@
-"""What a gateway knows, and the decisions' state that its tasks share."""
+"""The state that a gateway's tasks share: routes, endpoints, loads."""
 
 import asyncio
 import random
@@ -39,15 +39,15 @@
 from rackpost.routing import model
 from rackpost import types
 
-# An endpoint that has missed this many heartbeats is used last: one may
-# come seconds late, and two are lost when a coordinator dies.
+# An endpoint without this many heartbeats is used last; single ones may be
+# seconds late, and a coordinator's crash loses two.
 _SILENT_BEATS = 3.5
-# Gateways tell their figures at least each second.
+# Gateways send load reports at least each second.
 _GATEWAY_SILENT_S = 1.3
 
 
 class Site:
-    """Routes, endpoints and their use, as one gateway knows them."""
+    """Routes, endpoints and their loads, as one gateway knows them."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
         return None if item is None else item.quota
 
     def loop_time(self) -> float:
-        """The loop's clock, which never goes back, in seconds."""
+        """Return the loop's monotonic clock, in seconds."""
         return self._loop.time()
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> None:
@@ -148,31 +148,32 @@
         return max(1, len(self.gateways))
 
     def set_gateways(self, told: Sequence[messages.GatewayAddress]) -> None:
-        """Coordinators tell which gateways they are linked to."""
+        """Take the list of linked gateways that coordinators report."""
         self._told = {item.vm for item in told}
         for item in told:
             self.add_gateway(item)
         self.drop_gateways()
 
     def _note_gateways(self) -> None:
-        """So many gateways share the site's endpoints and quotas."""
+        """Apply the number of gateways that share endpoints and quotas."""
         self.chooser.set_gateways(self.gateway_count)
         self.group.set_gateways(self.gateway_count)
         self.quotas.gateways = self.gateway_count
         self.grants.set_gateways(self.gateways.values())
 
     def add_gateway(self, item: messages.GatewayAddress) -> None:
-        """A gateway shares the site's budgets and endpoints."""
+        """Add a gateway that shares the site's budgets and endpoints."""
         if self.gateways.get(item.vm) != item:
             self.gateways[item.vm] = item
             self._note_gateways()
-            # A newcomer knows nothing of what is under way.
+            # A new gateway needs this one's load report.
             self.loads_changed.set()
 
     def drop_gateways(self) -> None:
-        """Forget gateways that no coordinator and no datagram tells of.
+        """Drop gateways without load reports that no coordinator lists.
 
-        One that is cut off from the coordinators goes on serving.
+        A gateway that is cut off from the coordinators goes on serving and
+        stays.
         """
         since = self.loop_time() - _GATEWAY_SILENT_S
         for vm in set(self.gateways) - self._told - {self.host.vm}:
@@ -182,9 +183,10 @@
                 self.loads.forget(vm)
 
     def apply_routing(self, change: changes.Change) -> bool:
-        """Put a version in force unless it or a newer one is.
+        """Apply a routing change, unless it is not newer.
 
-        Raises RoutingError where the change does not fit the one held.
+        Returns whether it was applied.  Raises RoutingError where the change
+        does not fit the present version.
         """
         if change.version <= self.version:
             return False
@@ -195,7 +197,7 @@
         return True
 
     def budget(self, service: types.ServiceName) -> retry_budget.RetryBudget:
-        """The budget of repeats to a service."""
+        """Return the retry budget of a service."""
         found = self._budgets.get(service)
         if found is None:
             bounds = self.host.bounds
@@ -208,11 +210,11 @@
         return found
 
     def line(self, service: types.ServiceName) -> plain_queue.PlainQueue:
-        """Those that wait here for a plain service."""
+        """Return the queue of requests that wait for a plain service."""
         return self._lines.setdefault(service, plain_queue.PlainQueue())
 
     def meter(self, service: types.ServiceName) -> role_balance.DemandMeter:
-        """What this gateway's clients ask of a model service."""
+        """Return the demand meter of a model service."""
         found = self._meters.get(service)
         if found is None:
             found = role_balance.DemandMeter(began=self.began)
@@ -220,7 +222,7 @@
         return found
 
     def demands(self) -> tuple[role_balance.Demand, ...]:
-        """What they have asked lately, for each model service."""
+        """Return the recent demand for each model service."""
         now = self.loop_time()
         return tuple(
             meter.demand(service, now, self.pace)
@@ -228,7 +230,7 @@
         )
 
     def connections_to(self, service: model.Service) -> int:
-        """Connections that this gateway may have to one endpoint."""
+        """Return how many connections this gateway may open per endpoint."""
         return max(2, service.max_connections * 9 // 10 // self.gateway_count)
 
 
--- a/rackpost/gateway/stream_times.py
+++ b/rackpost/gateway/stream_times.py
@@ -1,10 +1,10 @@
-"""When the events of one stream came: its first, and its longest pause."""
+"""Times of a stream's first event and of its longest pause."""
 
 from rackpost.routing import model
 
 
 class StreamTimes:
-    """Times of a stream as its client sees them, but for the way to it."""
+    """Times of a stream as sent to its client."""
 
     def __init__(self, *, began: float) -> None:
         """`began` is the clock reading at the request's arrival."""
@@ -14,7 +14,7 @@
         self.longest_pause_s = 0.0
 
     def note_event(self, now: float) -> None:
-        """An event is passed on to the client."""
+        """Record an event that is sent to the client."""
         if self.first_s is None:
             self.first_s = now - self._began
         else:
@@ -23,14 +23,14 @@
         self._last = now
 
     def is_late(self, route: model.Route) -> bool:
-        """Whether the first event or any other came too late."""
+        """Whether the first event or a pause exceeded the route's target."""
         if self.first_s is None:
             return False
         first_late = 0.0 < route.target_s < self.first_s
         return first_late or 0.0 < route.gap_s < self.longest_pause_s
 
     def facts(self) -> dict[str, float]:
-        """Fields for the log; none where there was no event."""
+        """Return the fields for the log; none without an event."""
         if self.first_s is None:
             return {}
         return {
