--- a/rackpost/endpoint_notices.py
+++ b/rackpost/endpoint_notices.py
@@ -20,9 +20,9 @@
     now: float,
 ) -> None:
     """Raise Barred if the endpoint is ineligible now."""
-    bar = eligible.ineligible_reason(endpoint, now)
-    if bar is not None:
-        raise exceptions.Barred(bar.value)
+    reason = eligible.ineligible_reason(endpoint, now)
+    if reason is not None:
+        raise exceptions.Barred(reason.value)
 
 
 def record_answer(
@@ -38,7 +38,7 @@
     `requested` is the endpoint the request was sent to.  Returns the reasons
     for which the answering endpoint has newly become ineligible.
     """
-    said = eligibility.EndpointFeedback(
+    feedback = eligibility.EndpointFeedback(
         backoff_s=headers.backoff_s(head),
         leaving=headers.announces_leaving(head),
         rejected=headers.is_rejection(head),
@@ -46,23 +46,23 @@
     endpoint = eligible.answering_endpoint(requested, _answered_by(head))
     if endpoint is None:
         return frozenset()
-    _note_rate(eligible.rates, endpoint, head, part=part, now=now)
-    news = eligible.record_feedback(endpoint, said, now)
-    for bar in news:
+    _record_rate(eligible.rates, endpoint, head, part=part, now=now)
+    new_reasons = eligible.record_feedback(endpoint, feedback, now)
+    for reason in new_reasons:
         logs.say(
             part,
             "Endpoint wants no more requests.",
             endpoint=endpoint.id,
             born=endpoint.born,
-            why=bar.value,
+            why=reason.value,
             status=head.status,
-            backoff_s=said.backoff_s,
+            backoff_s=feedback.backoff_s,
         )
-    return news
+    return new_reasons
 
 
-def _note_rate(
-    book: endpoint_rates.RateTable,
+def _record_rate(
+    rates: endpoint_rates.RateTable,
     endpoint: endpoints.Endpoint,
     head: message.Head,
     *,
@@ -71,7 +71,7 @@
 ) -> None:
     """Record the rate that an answer names, or that it names none."""
     named = headers.named_rate(head)
-    if named.unreadable and book.record_unreadable(endpoint):
+    if named.unreadable and rates.record_unreadable(endpoint):
         logs.say(
             part,
             "Rate can't be read.",
@@ -79,8 +79,8 @@
             born=endpoint.born,
             status=head.status,
         )
-    before = book.per_s(endpoint)
-    if not book.record_answer(endpoint, named, now):
+    before = rates.per_s(endpoint)
+    if not rates.record_answer(endpoint, named, now):
         return
     logs.say(
         part,
@@ -88,12 +88,12 @@
         endpoint=endpoint.id,
         born=endpoint.born,
         status=head.status,
-        rate_per_s=book.per_s(endpoint),
+        rate_per_s=rates.per_s(endpoint),
         before_per_s=before,
     )
 
 
 def _answered_by(head: message.Head) -> types.EndpointId | None:
     """Return the id of the answering endpoint, if the answer has it."""
-    told = message.find(head.headers, headers.ANSWERED_BY)
-    return None if told is None else types.EndpointId(told.decode("latin-1"))
+    ident = message.find(head.headers, headers.ANSWERED_BY)
+    return None if ident is None else types.EndpointId(ident.decode("latin-1"))
--- a/rackpost/gateway/admission_queue.py
+++ b/rackpost/gateway/admission_queue.py
@@ -18,50 +18,50 @@
 
 # Capacity may become available without an event, as when the load report of
 # another gateway expires; the queue is rechecked at this interval.
-_LOOK_S = 0.05
+_RECHECK_S = 0.05
 # Share of an endpoint's KV memory that is reserved.  The rest absorbs
 # reservations that two gateways make at the same moment; the KV forecast
 # accounts for answers that are longer than estimated.
-_FILL = 0.97
+_RESERVABLE_SHARE = 0.97
 # Longest queue of a prefill endpoint that still gets a prompt, in seconds of
 # prefill work.  It keeps the endpoint busy while load reports travel; longer
 # queues form here, ordered by deadline and holding no KV memory.
-_QUEUE_S = 0.25
+_MAX_PREFILL_QUEUE_S = 0.25
 # Waiting requests without a fitting endpoint that one pass looks at.
-_LOOK_PAST = 4
+_MAX_UNPLACED = 4
 # Waiting requests that are reported to other gateways.
-_MOST_TOLD = 6
+_MAX_REPORTED = 6
 # Delay per gateway, in seconds, so that changes that arrive together are
 # handled in one pass: a large fleet sends hundreds of reports a second.
-_GATHER_EACH_S = 0.0005
-_MOST = 512
+_BATCHING_PER_GATEWAY_S = 0.0005
+_MAX_WAITING = 512
 # When nothing was admitted for this long, in seconds, one request that seems
 # infeasible is admitted: rejected requests never correct a wrong estimate.
-_TRY_S = 1.0
+_PROBE_INTERVAL_S = 1.0
 
 
-def _usable(wanted: reservation_mod.ReservationRequest) -> int:
+def _reservable_tokens(request: reservation_mod.ReservationRequest) -> int:
     """Return the part of an endpoint's KV memory to reserve, in tokens."""
-    return int(wanted.memory_tokens * _FILL)
+    return int(request.memory_tokens * _RESERVABLE_SHARE)
 
 
-def _nothing() -> None:
+def _release_nothing() -> None:
     """Release nothing: no prompt is prefilled."""
 
 
-class _Way(NamedTuple):
+class _PrefillPlan(NamedTuple):
     """A prefill endpoint, or the terms of a prefill in place."""
 
-    reader: endpoints.Endpoint | None
+    prefill_endpoint: endpoints.Endpoint | None
     in_place: endpoint_choice.InPlacePrefill | None
 
 
 class _Waiter:
     """A waiting generation and the future of its result."""
 
-    def __init__(self, *, wanted: reservation_mod.ReservationRequest) -> None:
-        self.wanted = wanted
-        self.found: asyncio.Future[
+    def __init__(self, *, request: reservation_mod.ReservationRequest) -> None:
+        self.request = request
+        self.result: asyncio.Future[
             reservation_mod.DecodeReservation | reservation_mod.NoCapacity
         ] = asyncio.get_running_loop().create_future()
 
@@ -81,11 +81,11 @@
         on_waiters_changed: Callable[[], None],
         split: bool = True,
     ) -> None:
-        """`changed` is set when capacity may be available.
+        """`capacity_changed` is set when capacity may be available.
 
-        `waiters_changed` is called when the waiting requests that are reported
-        to other gateways have changed.  Without `split` all prompts are
-        prefilled in place.
+        `on_waiters_changed` is called when the waiting requests that are
+        reported to other gateways have changed.  Without `split` all prompts
+        are prefilled in place.
         """
         self._loop = asyncio.get_running_loop()
         self._chooser = chooser
@@ -93,55 +93,55 @@
         self._pace = pace
         self._rng = rng
         self._vm = vm
-        self._waiters_changed = on_waiters_changed
+        self._on_waiters_changed = on_waiters_changed
         self._split = split
-        self._changed = capacity_changed
+        self._capacity_changed = capacity_changed
         self._waiters: list[_Waiter] = []
         # Clock reading of the last reservation.
-        self._begun_at = self._loop.time()
+        self._last_reserved_at = self._loop.time()
 
     def most_urgent_waiters(
         self, now: float
     ) -> tuple[queue_order.WaitingSummary, ...]:
         """Return the waiting requests to report, most urgent first."""
-        found = [
-            queue_order.summarize(waiter.wanted.claim, now)
+        summaries = [
+            queue_order.summarize(waiter.request.claim, now)
             for waiter in self._waiters
-            if not waiter.found.done()
+            if not waiter.result.done()
         ]
-        found.sort(key=lambda item: item.rank(0.0))
-        return tuple(found[:_MOST_TOLD])
+        summaries.sort(key=lambda item: item.rank(0.0))
+        return tuple(summaries[:_MAX_REPORTED])
 
     async def reserve(
-        self, wanted: reservation_mod.ReservationRequest
+        self, request: reservation_mod.ReservationRequest
     ) -> reservation_mod.DecodeReservation | reservation_mod.NoCapacity:
         """Wait for a reservation, which the caller must release.
 
         Returns NoCapacity where the request can't be served in time.
         """
         now = self._loop.time()
-        waiter = _Waiter(wanted=wanted)
+        waiter = _Waiter(request=request)
         self._waiters.append(waiter)
-        self._give()
-        if not waiter.found.done():
-            self._refuse_if_hopeless(waiter, now)
-        if not waiter.found.done():
+        self._admit()
+        if not waiter.result.done():
+            self._reject_if_infeasible(waiter, now)
+        if not waiter.result.done():
             # `run` retries from now on.
-            self._changed.set()
-            self._waiters_changed()
+            self._capacity_changed.set()
+            self._on_waiters_changed()
         try:
-            return await waiter.found
+            return await waiter.result
         except asyncio.CancelledError:
-            self._give_back(waiter)
+            self._release(waiter)
             raise
         finally:
             if waiter in self._waiters:
                 self._waiters.remove(waiter)
-                self._waiters_changed()
+                self._on_waiters_changed()
 
     def reserve_at(
         self,
-        wanted: reservation_mod.ReservationRequest,
+        request: reservation_mod.ReservationRequest,
         endpoint: endpoints.Endpoint,
     ) -> reservation_mod.DecodeReservation | None:
         """Reserve the endpoint where the request's connection just broke.
@@ -156,53 +156,58 @@
         return reservation_mod.DecodeReservation(
             endpoint=endpoint,
             prefill_endpoint=None,
-            free=self._loads.add_request(endpoint.id, run=wanted.run),
-            end_turn=_nothing,
-            changed=self._changed.set,
+            release_capacity=self._loads.add_request(
+                endpoint.id, run=request.run
+            ),
+            release_prefill=_release_nothing,
+            on_change=self._capacity_changed.set,
             reserved_at=now,
         )
 
-    def _refuse_if_hopeless(self, waiter: _Waiter, now: float) -> None:
-        claim = waiter.wanted.claim
-        wait_s = self._expected_wait_s(waiter.wanted, now)
-        hopeless = queue_order.will_be_infeasible(claim, wait_s, now)
-        if hopeless or len(self._waiters) > _MOST:
-            self._settle(waiter, self._full(waiter.wanted, now))
+    def _reject_if_infeasible(self, waiter: _Waiter, now: float) -> None:
+        claim = waiter.request.claim
+        wait_s = self._expected_wait_s(waiter.request, now)
+        infeasible = queue_order.will_be_infeasible(claim, wait_s, now)
+        if infeasible or len(self._waiters) > _MAX_WAITING:
+            self._resolve(waiter, self._no_capacity(waiter.request, now))
 
-    def _opens_s(
-        self, wanted: reservation_mod.ReservationRequest, now: float
+    def _available_in_s(
+        self, request: reservation_mod.ReservationRequest, now: float
     ) -> float:
         """Return the time until a decode endpoint takes requests again.
 
         In seconds; 0 if one does now.
         """
-        opens_s = self._chooser.candidates.available_in_s(
-            wanted.service, types.Role.DECODE, exclude=wanted.exclude, now=now
+        available_in_s = self._chooser.candidates.available_in_s(
+            request.service,
+            types.Role.DECODE,
+            exclude=request.exclude,
+            now=now,
         )
-        return opens_s or 0.0
+        return available_in_s or 0.0
 
     def _expected_wait_s(
-        self, wanted: reservation_mod.ReservationRequest, now: float
+        self, request: reservation_mod.ReservationRequest, now: float
     ) -> float:
         """Return the expected time until a request is admitted."""
-        mine = queue_order.rank_of(wanted.claim, now)
+        rank = queue_order.rank_of(request.claim, now)
         ahead = sum(
-            queue_order.rank_of(item.wanted.claim, now) <= mine
+            queue_order.rank_of(item.request.claim, now) <= rank
             for item in self._waiters
-            if item.wanted is not wanted
+            if item.request is not request
         )
-        opening_s = self._opening_s(wanted, ahead, now)
+        delay_s = self._availability_delay_s(request, ahead, now)
         if (
-            opening_s > 0.0
-            and self._chooser.free_decode_slots(wanted.service, now) > ahead
+            delay_s > 0.0
+            and self._chooser.free_decode_slots(request.service, now) > ahead
         ):
             # Capacity is free; no running generation has to end first.
-            return opening_s
-        return opening_s + self._queue_s(wanted, ahead, now)
+            return delay_s
+        return delay_s + self._queue_s(request, ahead, now)
 
-    def _opening_s(
+    def _availability_delay_s(
         self,
-        wanted: reservation_mod.ReservationRequest,
+        request: reservation_mod.ReservationRequest,
         ahead: int,
         now: float,
     ) -> float:
@@ -210,232 +215,269 @@
 
         `ahead` waiting requests of this gateway have precedence.
         """
-        opens_s = self._opens_s(wanted, now)
-        found = self._chooser.candidates
+        available_in_s = self._available_in_s(request, now)
+        candidates = self._chooser.candidates
         role = types.Role.DECODE
-        per_s = found.own_rate_per_s(
-            wanted.service, role, exclude=wanted.exclude, now=now
+        rate_per_s = candidates.own_rate_per_s(
+            request.service, role, exclude=request.exclude, now=now
         )
-        if opens_s <= 0.0 and per_s is None:
+        if available_in_s <= 0.0 and rate_per_s is None:
             return 0.0
         return plain_queue.expected_wait_s(
             ahead=ahead,
-            count=len(found.members(wanted.service, role)),
-            answer_s=wanted.claim.start_s,
-            available_in_s=opens_s,
-            rate_per_s=per_s,
+            count=len(candidates.members(request.service, role)),
+            answer_s=request.claim.start_s,
+            available_in_s=available_in_s,
+            rate_per_s=rate_per_s,
         )
 
     def _queue_s(
         self,
-        wanted: reservation_mod.ReservationRequest,
+        request: reservation_mod.ReservationRequest,
         ahead: int,
         now: float,
     ) -> float:
         """Return how long the requests ahead will take, in seconds."""
-        left = queue_order.summarize(wanted.claim, now)
+        summary = queue_order.summarize(request.claim, now)
         return queue_order.expected_wait_s(
-            ahead=ahead + self._loads.waiting_ahead(left, self._vm, now),
-            running=self._chooser.running_generations(wanted.service, now),
+            ahead=ahead + self._loads.waiting_ahead(summary, self._vm, now),
+            running=self._chooser.running_generations(request.service, now),
             run_s=self._pace.run_s,
         )
 
-    def _full(
-        self, wanted: reservation_mod.ReservationRequest, now: float
+    def _no_capacity(
+        self, request: reservation_mod.ReservationRequest, now: float
     ) -> reservation_mod.NoCapacity:
-        wait_s = self._expected_wait_s(wanted, now)
-        chance = self._rng.random()
-        after = queue_order.retry_after_s(wanted.claim, wait_s, now, chance)
+        wait_s = self._expected_wait_s(request, now)
+        jitter = self._rng.random()
+        retry_after_s = queue_order.retry_after_s(
+            request.claim, wait_s, now, jitter
+        )
         # A retry before an endpoint takes requests again would fail too.
-        after = max(after, self._opens_s(wanted, now))
+        retry_after_s = max(retry_after_s, self._available_in_s(request, now))
         return reservation_mod.NoCapacity(
-            retry_after_s=after, expected_wait_s=wait_s
+            retry_after_s=retry_after_s, expected_wait_s=wait_s
         )
 
-    def _give_back(self, waiter: _Waiter) -> None:
-        if waiter.found.done() and not waiter.found.cancelled():
-            place = waiter.found.result()
-            if isinstance(place, reservation_mod.DecodeReservation):
-                place.release()
+    def _release(self, waiter: _Waiter) -> None:
+        if waiter.result.done() and not waiter.result.cancelled():
+            reservation = waiter.result.result()
+            if isinstance(reservation, reservation_mod.DecodeReservation):
+                reservation.release()
 
-    def _give(self) -> None:
+    def _admit(self) -> None:
         now = self._loop.time()
         self._waiters.sort(
-            key=lambda item: queue_order.rank_of(item.wanted.claim, now)
+            key=lambda item: queue_order.rank_of(item.request.claim, now)
         )
-        self._drop_hopeless(now)
+        self._reject_infeasible(now)
         unplaced = 0
         for waiter in list(self._waiters):
-            if waiter.found.done():
+            if waiter.result.done():
                 continue
-            way = self._way(waiter.wanted, now)
-            if way is not None and not self._is_next(waiter.wanted, way, now):
+            plan = self._plan_prefill(waiter.request, now)
+            if plan is not None and not self._has_precedence(
+                waiter.request, plan, now
+            ):
                 return
-            place = way and self._place(waiter.wanted, way, now)
-            if place is not None:
-                self._settle(waiter, place)
+            reservation = plan and self._reserve(waiter.request, plan, now)
+            if reservation is not None:
+                self._resolve(waiter, reservation)
                 continue
             # A smaller request behind it may fit.
             unplaced += 1
-            if unplaced >= _LOOK_PAST:
+            if unplaced >= _MAX_UNPLACED:
                 return
 
-    def _drop_hopeless(self, now: float) -> None:
+    def _reject_infeasible(self, now: float) -> None:
         """Reject requests that will miss their deadline in the queue."""
         ahead = 0
         for waiter in list(self._waiters):
-            wanted = waiter.wanted
-            opens = now + self._opening_s(wanted, ahead, now)
-            if waiter.found.done():
+            request = waiter.request
+            available_at = now + self._availability_delay_s(
+                request, ahead, now
+            )
+            if waiter.result.done():
                 continue
-            if queue_order.is_infeasible(wanted.claim, opens):
-                place = self._try(wanted, now)
-                self._settle(waiter, place or self._full(wanted, now))
+            if queue_order.is_infeasible(request.claim, available_at):
+                reservation = self._probe(request, now)
+                self._resolve(
+                    waiter, reservation or self._no_capacity(request, now)
+                )
             else:
                 ahead += 1
 
-    def _try(
-        self, wanted: reservation_mod.ReservationRequest, now: float
+    def _probe(
+        self, request: reservation_mod.ReservationRequest, now: float
     ) -> reservation_mod.DecodeReservation | None:
         """Occasionally reserve for a request that seems infeasible.
 
         It must be feasible if the estimates are wrong, and no planned stop may
         interrupt it if they are right.
         """
-        claim = wanted.claim
-        if now < self._begun_at + _TRY_S or now >= claim.target:
+        claim = request.claim
+        if (
+            now < self._last_reserved_at + _PROBE_INTERVAL_S
+            or now >= claim.target
+        ):
             return None
         if claim.gateway_stopping:
             return None
-        way = self._way(wanted, now)
-        return way and self._place(wanted, way, now)
+        plan = self._plan_prefill(request, now)
+        return plan and self._reserve(request, plan, now)
 
-    def _is_next(
-        self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
+    def _has_precedence(
+        self,
+        request: reservation_mod.ReservationRequest,
+        plan: _PrefillPlan,
+        now: float,
     ) -> bool:
-        """Whether capacity is left after the requests ahead elsewhere."""
-        left = queue_order.summarize(wanted.claim, now)
-        ahead = self._loads.waiting_ahead(left, self._vm, now)
+        """Whether capacity remains after more urgent requests elsewhere."""
+        summary = queue_order.summarize(request.claim, now)
+        ahead = self._loads.waiting_ahead(summary, self._vm, now)
         # Two prompts that one decode endpoint prefills at once delay all its
         # streams, so that prefills in place take turns even among few
         # gateways.
         if ahead == 0 or (
-            way.in_place is None
+            plan.in_place is None
             and self._loads.gateway_count
             <= fleet_size.MAX_GATEWAYS_WITHOUT_RACES
         ):
             return True
-        places = self._chooser.decode_capacity(
-            wanted.service,
-            wanted.run,
-            _usable(wanted),
-            in_place=way.in_place,
+        capacity = self._chooser.decode_capacity(
+            request.service,
+            request.run,
+            _reservable_tokens(request),
+            in_place=plan.in_place,
             now=now,
         )
-        if way.in_place is None:
-            places = min(places, self._prefill_places(wanted, now))
-        return ahead < places
+        if plan.in_place is None:
+            capacity = min(capacity, self._prefill_capacity(request, now))
+        return ahead < capacity
 
-    def _prefill_places(
-        self, wanted: reservation_mod.ReservationRequest, now: float
+    def _prefill_capacity(
+        self, request: reservation_mod.ReservationRequest, now: float
     ) -> int:
         return self._chooser.prefill_capacity(
-            wanted.service, self._pace.prefill_tokens_in(_QUEUE_S), now
+            request.service,
+            self._pace.prefill_tokens_in(_MAX_PREFILL_QUEUE_S),
+            now,
         )
 
-    def _in_place(
-        self, wanted: reservation_mod.ReservationRequest, now: float
+    def _in_place_terms(
+        self, request: reservation_mod.ReservationRequest, now: float
     ) -> endpoint_choice.InPlacePrefill | None:
         """Return the terms of a prefill in place, if one is due."""
-        read_apart = self._split and not wanted.in_place
-        if read_apart and not self._chooser.must_prefill_in_place(
-            wanted.service, now
+        separate = self._split and not request.in_place
+        if separate and not self._chooser.must_prefill_in_place(
+            request.service, now
         ):
             return None
         return endpoint_choice.InPlacePrefill(
-            min_interval_s=wanted.event_interval_s
+            min_interval_s=request.event_interval_s
         )
 
-    def _way(
-        self, wanted: reservation_mod.ReservationRequest, now: float
-    ) -> _Way | None:
+    def _plan_prefill(
+        self, request: reservation_mod.ReservationRequest, now: float
+    ) -> _PrefillPlan | None:
         """Return how the prompt can be prefilled now, None if it can't."""
-        in_place = self._in_place(wanted, now)
+        in_place = self._in_place_terms(request, now)
         if in_place is not None:
-            return _Way(None, in_place)
-        reader = self._reader(wanted, now)
-        return None if reader is None else _Way(reader, None)
+            return _PrefillPlan(None, in_place)
+        prefill_endpoint = self._find_prefill_endpoint(request, now)
+        return (
+            None
+            if prefill_endpoint is None
+            else _PrefillPlan(prefill_endpoint, None)
+        )
 
-    def _place(
-        self, wanted: reservation_mod.ReservationRequest, way: _Way, now: float
+    def _reserve(
+        self,
+        request: reservation_mod.ReservationRequest,
+        plan: _PrefillPlan,
+        now: float,
     ) -> reservation_mod.DecodeReservation | None:
         endpoint = self._chooser.choose_decode(
-            wanted.service,
-            wanted.run,
-            _usable(wanted),
-            in_place=way.in_place,
-            exclude=wanted.exclude,
+            request.service,
+            request.run,
+            _reservable_tokens(request),
+            in_place=plan.in_place,
+            exclude=request.exclude,
             now=now,
         )
         if endpoint is None:
             return None
-        self._begun_at = now
-        free = self._loads.add_request(endpoint.id, run=wanted.run)
+        self._last_reserved_at = now
+        release_capacity = self._loads.add_request(
+            endpoint.id, run=request.run
+        )
         self._chooser.candidates.record_selection(endpoint, now)
-        if way.reader is None:
-            end_turn = self._turn_to_read(endpoint, wanted.run.held_tokens)
+        if plan.prefill_endpoint is None:
+            release_prefill = self._reserve_prefill_in_place(
+                endpoint, request.run.held_tokens
+            )
         else:
-            self._chooser.candidates.record_selection(way.reader, now)
-            end_turn = self._loads.add_request(
-                way.reader.id, prompt=wanted.run.held_tokens
+            self._chooser.candidates.record_selection(
+                plan.prefill_endpoint, now
+            )
+            release_prefill = self._loads.add_request(
+                plan.prefill_endpoint.id, prompt=request.run.held_tokens
             )
         return reservation_mod.DecodeReservation(
             endpoint=endpoint,
-            prefill_endpoint=way.reader,
-            free=free,
-            end_turn=end_turn,
-            changed=self._changed.set,
+            prefill_endpoint=plan.prefill_endpoint,
+            release_capacity=release_capacity,
+            release_prefill=release_prefill,
+            on_change=self._capacity_changed.set,
             reserved_at=now,
         )
 
-    def _reader(
-        self, wanted: reservation_mod.ReservationRequest, now: float
+    def _find_prefill_endpoint(
+        self, request: reservation_mod.ReservationRequest, now: float
     ) -> endpoints.Endpoint | None:
         """Return a prefill endpoint with a short queue, None without one."""
         return self._chooser.choose_prefill(
-            wanted.service,
-            wanted.run.held_tokens,
-            max_ahead_tokens=self._pace.prefill_tokens_in(_QUEUE_S),
+            request.service,
+            request.run.held_tokens,
+            max_ahead_tokens=self._pace.prefill_tokens_in(
+                _MAX_PREFILL_QUEUE_S
+            ),
             now=now,
         )
 
-    def _turn_to_read(
+    def _reserve_prefill_in_place(
         self, endpoint: endpoints.Endpoint, prompt: int
     ) -> Callable[[], None]:
         """Reserve a prefill in place; return what releases it."""
         release = self._loads.add_request(endpoint.id, prompt=prompt)
 
-        def end_turn() -> None:
+        def release_prefill() -> None:
             release()
             self._loads.record_prefilled(endpoint.id, self._loop.time())
 
-        return end_turn
+        return release_prefill
 
-    def _settle(
+    def _resolve(
         self,
         waiter: _Waiter,
-        place: reservation_mod.DecodeReservation | reservation_mod.NoCapacity,
+        reservation: (
+            reservation_mod.DecodeReservation | reservation_mod.NoCapacity
+        ),
     ) -> None:
         self._waiters.remove(waiter)
-        waiter.found.set_result(place)
-        self._waiters_changed()
+        waiter.result.set_result(reservation)
+        self._on_waiters_changed()
 
     async def run(self) -> None:
         """Admit requests as capacity becomes available, until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_LOOK_S if self._waiters else None):
-                    await self._changed.wait()
-                await asyncio.sleep(_GATHER_EACH_S * self._loads.gateway_count)
-            self._changed.clear()
-            self._give()
+                async with asyncio.timeout(
+                    _RECHECK_S if self._waiters else None
+                ):
+                    await self._capacity_changed.wait()
+                await asyncio.sleep(
+                    _BATCHING_PER_GATEWAY_S * self._loads.gateway_count
+                )
+            self._capacity_changed.clear()
+            self._admit()
--- a/rackpost/gateway/answer_relay.py
+++ b/rackpost/gateway/answer_relay.py
@@ -7,7 +7,7 @@
 from rackpost.http1 import message
 
 
-def pass_whole(call: call_mod.Call, head: message.Head, body: bytes) -> None:
+def relay_whole(call: call_mod.Call, head: message.Head, body: bytes) -> None:
     """Send an endpoint's whole answer to the client, unchanged."""
     lines = message.end_to_end(head.headers)
     if call.is_head:
@@ -19,7 +19,7 @@
         call.responder.whole(head.status, lines, body)
 
 
-async def relay(
+async def relay_stream(
     call: call_mod.Call, head: message.Head, conn: client.ClientConnection
 ) -> None:
     """Send a stream's events to the client as they come, each once.
@@ -35,7 +35,7 @@
         for event in splitter.feed(chunk):
             if _is_new(call, event):
                 fresh.append(event.data)
-            _note_event(call, event)
+            _record_event(call, event)
         await responder.part(b"".join(fresh))
     if splitter.rest:
         raise exceptions.ExchangeError("ended within an event")
@@ -44,16 +44,16 @@
 
 def _is_new(call: call_mod.Call, event: events.Event) -> bool:
     """Whether the client has not been sent this event yet."""
-    if event.id is None or call.last_event is None:
+    if event.id is None or call.last_event_id is None:
         return True
-    return event.id > call.last_event
+    return event.id > call.last_event_id
 
 
-def _note_event(call: call_mod.Call, event: events.Event) -> None:
+def _record_event(call: call_mod.Call, event: events.Event) -> None:
     """Record an event, and its time if it is new to the client."""
     if event.id is None:
         return
     call.on_event()
     if _is_new(call, event):
-        call.last_event = event.id
-        call.times.note_event(call.site.loop_time())
+        call.last_event_id = event.id
+        call.times.record_event(call.site.loop_time())
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -18,7 +18,7 @@
 
 # Bytes; answers other than streams are buffered, so that a truncated one is
 # never passed on as complete.
-_MAX_ANSWER = 16 << 20
+_MAX_ANSWER_BYTES = 16 << 20
 
 
 class Reply(NamedTuple):
@@ -28,21 +28,21 @@
     head: message.Head
 
 
-def run_headers(
+def request_headers(
     call: call_mod.Call, endpoint: endpoints.Endpoint, now: float
 ) -> list[message.Header]:
     """Return the headers of the request to one endpoint."""
-    left_ms = max(1, int((call.until - now) * 1000))
-    found = list(call.passed)
-    if call.last_event is not None:
-        found = [item for item in found if item[0] != headers.RESUME_AFTER]
-        found.append((headers.RESUME_AFTER, b"%d" % call.last_event))
-    found.append((headers.DEADLINE_MS, b"%d" % left_ms))
-    found.append((headers.ENDPOINT_ID, endpoint.id.encode()))
-    found.append((headers.PRIORITY, b"%d" % min(9, max(0, call.priority))))
+    remaining_ms = max(1, int((call.deadline - now) * 1000))
+    lines = list(call.forwarded_headers)
+    if call.last_event_id is not None:
+        lines = [item for item in lines if item[0] != headers.RESUME_AFTER]
+        lines.append((headers.RESUME_AFTER, b"%d" % call.last_event_id))
+    lines.append((headers.DEADLINE_MS, b"%d" % remaining_ms))
+    lines.append((headers.ENDPOINT_ID, endpoint.id.encode()))
+    lines.append((headers.PRIORITY, b"%d" % min(9, max(0, call.priority))))
     if call.req.has_body:
-        found.append((b"content-length", b"%d" % len(call.req.body)))
-    return found
+        lines.append((b"content-length", b"%d" % len(call.req.body)))
+    return lines
 
 
 def connected(
@@ -52,7 +52,7 @@
     return endpoint_calls.connected(call.site, call.service, endpoint)
 
 
-def granted(
+def acquire_grant(
     call: call_mod.Call, endpoint: endpoints.Endpoint
 ) -> contextlib.AbstractAsyncContextManager[rate_grants.Grant | None]:
     """Acquire a grant for one request, where the endpoint names a rate.
@@ -60,16 +60,16 @@
     Raises Barred where there is none now.
     """
     site = call.site
-    per_s = site.chooser.candidates.own_rate_per_s(
+    rate_per_s = site.chooser.candidates.own_rate_per_s(
         endpoint.service,
         endpoint.role,
-        exclude=call.not_again,
+        exclude=call.excluded_endpoints,
         now=site.loop_time(),
     )
     # While some endpoint names no rate, the request goes there instead of
     # waiting for a grant.
-    return site.grants.acquire(
-        endpoint, priority=call.priority, waits=per_s is not None
+    return site.rate_grants.acquire(
+        endpoint, priority=call.priority, waits=rate_per_s is not None
     )
 
 
@@ -77,7 +77,7 @@
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     conn: client.ClientConnection,
-    extra: list[message.Header],
+    extra_headers: list[message.Header],
     grant: rate_grants.Grant | None = None,
 ) -> Reply:
     """Send the request; return once the answer's head has arrived.
@@ -86,26 +86,30 @@
     Raises ExchangeError where there is no answer.
     """
     now = call.site.loop_time()
-    if grant is None or not grant.is_for(endpoint, now):
-        async with granted(call, endpoint) as found:
-            return await _send(call, endpoint, conn, extra, found)
-    return await _send(call, endpoint, conn, extra, grant)
+    if grant is None or not grant.is_valid_for(endpoint, now):
+        async with acquire_grant(call, endpoint) as acquired:
+            return await _send(call, endpoint, conn, extra_headers, acquired)
+    return await _send(call, endpoint, conn, extra_headers, grant)
 
 
 async def _send(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     conn: client.ClientConnection,
-    extra: list[message.Header],
+    extra_headers: list[message.Header],
     grant: rate_grants.Grant | None,
 ) -> Reply:
-    lines = run_headers(call, endpoint, call.site.loop_time()) + extra
+    request_lines = (
+        request_headers(call, endpoint, call.site.loop_time()) + extra_headers
+    )
     head = await endpoint_calls.request(
         call.site,
         endpoint,
         conn,
         grant=grant,
-        head=message.request_head(call.req.method, call.req.target, lines),
+        head=message.request_head(
+            call.req.method, call.req.target, request_lines
+        ),
         body=call.req.body,
         request_id=call.request_id,
         is_head=call.is_head,
@@ -113,7 +117,7 @@
     return Reply(conn, head)
 
 
-def note_replaced(
+def record_replaced(
     call: call_mod.Call, endpoint: endpoints.Endpoint, head: message.Head
 ) -> None:
     """Drop an endpoint whose address now belongs to another one."""
@@ -140,24 +144,24 @@
     """
     try:
         async with connected(call, endpoint) as conn:
-            return await run_on(call, endpoint, conn, [])
+            return await run_on_connection(call, endpoint, conn, [])
     except exceptions.ExchangeError as exc:
-        return not_connected(call, endpoint, exc)
+        return record_not_connected(call, endpoint, exc)
 
 
-def not_connected(
+def record_not_connected(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     exc: exceptions.ExchangeError,
 ) -> retry_decision.AttemptEnd:
     """Record that no connection was made and the request not sent."""
     if isinstance(exc, exceptions.Barred):
-        return _barred(call, endpoint, exc)
+        return _record_ineligible(call, endpoint, exc)
     call.tried.append(endpoint.id)
-    return _broke(call, endpoint, exc, began=None)
+    return _record_broken(call, endpoint, exc, began=None)
 
 
-def _barred(
+def _record_ineligible(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     exc: exceptions.Barred,
@@ -170,11 +174,11 @@
     return retry_decision.AttemptEnd.NOT_SENT
 
 
-async def run_on(
+async def run_on_connection(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     conn: client.ClientConnection,
-    extra: list[message.Header],
+    extra_headers: list[message.Header],
     grant: rate_grants.Grant | None = None,
 ) -> retry_decision.AttemptEnd | None:
     """Do as `run` on an open connection, with additional headers."""
@@ -183,28 +187,28 @@
         _log_choice(call, endpoint, began)
     ran_before = call.may_have_run
     if call.charge is not None:
-        call.charge.sent(began)
+        call.charge.record_sent(began)
     call.tried.append(endpoint.id)
     call.may_have_run = True
     try:
-        reply = await send(call, endpoint, conn, extra, grant)
-        ended = await _take(call, endpoint, reply, began)
+        reply = await send(call, endpoint, conn, extra_headers, grant)
+        ended = await _receive_answer(call, endpoint, reply, began)
     except exceptions.Barred as exc:
         call.tried.remove(endpoint.id)
-        ended = _barred(call, endpoint, exc)
+        ended = _record_ineligible(call, endpoint, exc)
     except exceptions.ExchangeError as exc:
-        ended = _broke(call, endpoint, exc, began=began)
+        ended = _record_broken(call, endpoint, exc, began=began)
     if ended is not retry_decision.AttemptEnd.NOT_SENT:
-        call.sent += 1
+        call.send_count += 1
     if ended in (
         retry_decision.AttemptEnd.NOT_SENT,
         retry_decision.AttemptEnd.NOT_RUN,
     ):
         call.may_have_run = ran_before
         if call.charge is not None:
-            call.charge.not_run(call.site.loop_time())
+            call.charge.record_not_run(call.site.loop_time())
     else:
-        call.ran_at.add(endpoint.id)
+        call.possible_runners.add(endpoint.id)
     return ended
 
 
@@ -213,23 +217,23 @@
 ) -> None:
     """Log the chosen endpoint and the age of the data behind the choice."""
     site = call.site
-    use = site.loads.total(endpoint.id)
-    heard_at = site.table.last_heartbeat_at.get(endpoint.id, now)
+    load = site.loads.total(endpoint.id)
+    last_heartbeat_at = site.table.last_heartbeat_at.get(endpoint.id, now)
     call.log(
         "Sent.",
         endpoint=endpoint.id,
         sequence=endpoint.sequence,
-        heard_s=round(now - heard_at, 2),
-        under_way=use.requests,
+        heard_s=round(now - last_heartbeat_at, 2),
+        under_way=load.requests,
         slots=endpoint.slots,
         rate_per_s=site.eligible.rates.per_s(endpoint),
         gateways=site.gateway_count,
         figures_s=round(site.loads.oldest_age_s(now), 2),
-        time_left_s=round(call.until - now, 3),
+        time_left_s=round(call.deadline - now, 3),
     )
 
 
-def _broke(
+def _record_broken(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     exc: exceptions.ExchangeError,
@@ -253,11 +257,11 @@
     if not exc.sent:
         return retry_decision.AttemptEnd.NOT_SENT
     if began is not None:
-        call.note_broken(endpoint, began=began)
+        call.record_broken(endpoint, began=began)
     return retry_decision.AttemptEnd.BROKEN
 
 
-async def _take(
+async def _receive_answer(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     reply: Reply,
@@ -265,8 +269,8 @@
 ) -> retry_decision.AttemptEnd | None:
     head = reply.head
     if answer_check.is_not_run(head):
-        await reply.conn.read_whole(_MAX_ANSWER)
-        _note_not_run(call, endpoint, head)
+        await reply.conn.read_whole(_MAX_ANSWER_BYTES)
+        _record_not_run(call, endpoint, head)
         return retry_decision.AttemptEnd.NOT_RUN
     why = answer_check.why_unsound(head, call.request_id)
     if why:
@@ -275,13 +279,13 @@
         call.site.health.record_answer(
             endpoint.id, call.site.loop_time() - began
         )
-        await answer_relay.relay(call, head, reply.conn)
-        call.delivered(endpoint, head)
+        await answer_relay.relay_stream(call, head, reply.conn)
+        call.record_delivered(endpoint, head)
         return None
-    return await _take_whole(call, endpoint, reply, began)
+    return await _receive_whole(call, endpoint, reply, began)
 
 
-def _note_not_run(
+def _record_not_run(
     call: call_mod.Call, endpoint: endpoints.Endpoint, head: message.Head
 ) -> None:
     call.log(
@@ -291,24 +295,26 @@
         backoff_s=headers.backoff_s(head),
         leaving=headers.announces_leaving(head),
     )
-    note_replaced(call, endpoint, head)
+    record_replaced(call, endpoint, head)
     if head.status == 503:
         call.site.health.record_rejection(endpoint.id, call.site.loop_time())
     if headers.backoff_s(head) is not None:
-        call.asked_to_wait.append(endpoint.id)
+        call.backoff_endpoints.append(endpoint.id)
 
 
-async def _take_whole(
+async def _receive_whole(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     reply: Reply,
     began: float,
 ) -> retry_decision.AttemptEnd | None:
-    body = await reply.conn.read_whole(_MAX_ANSWER)
+    body = await reply.conn.read_whole(_MAX_ANSWER_BYTES)
     head = reply.head
     if call.responder.started:
         # A stream that has begun can only be resumed by a stream.
-        raise exceptions.ExchangeError("not a stream to go on with")
+        raise exceptions.ExchangeError(
+            "resumed stream answered without a stream"
+        )
     if head.status >= 500:
         call.site.health.record_error(endpoint.id)
         call.failure = call_mod.Failure(head=head, body=body)
@@ -317,6 +323,6 @@
     took = call.site.loop_time() - began
     if call.route.kind is not model.RouteKind.STREAM:
         call.site.health.record_answer(endpoint.id, took)
-    answer_relay.pass_whole(call, head, body)
-    call.delivered(endpoint, head)
+    answer_relay.relay_whole(call, head, body)
+    call.record_delivered(endpoint, head)
     return None
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -19,15 +19,15 @@
 from rackpost.routing import model
 from rackpost import types
 
-# One in this many requests is logged when answered in time; late answers are
-# always logged.
-_SAMPLE = 16
+# One in this many requests answered in time is logged; late and failed ones
+# all are.
+_LOG_EVERY = 16
 # Refusals with a back-off after which a request no longer returns to the
 # endpoints that sent them: each costs a retry.
-_MOST_WAITS = 3
+_MAX_BACKOFFS = 3
 # Retry-After of requests that a stopping gateway refuses, in seconds; other
 # gateways can serve them at once.
-ELSEWHERE_S = 0.05
+STOPPING_RETRY_AFTER_S = 0.05
 
 
 class Reason(enum.Enum):
@@ -59,8 +59,8 @@
 class Call:
     """A request, its attempts, and the answer to its client.
 
-    `until` is a reading of the loop's clock: the client's or the route's
-    deadline, whichever is earlier.
+    `deadline` is a reading of the loop's clock: the client's or the route's,
+    whichever is earlier.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         service: model.Service,
         caller: callers.Caller,
         began: float,
-        until: float,
+        deadline: float,
     ) -> None:
         self.site = site
         self.req = req
@@ -85,26 +85,26 @@
         # The request's units in its organisation's quota, if it has one.
         self.charge: charge_mod.Charge | None = None
         self.began = began
-        self.until = until
+        self.deadline = deadline
         self.request_id = message.find(req.headers, headers.REQUEST_ID)
-        self.budget = site.budget(service.name)
+        self.retry_budget = site.retry_budget(service.name)
         self.tried: list[types.EndpointId] = []
         # Endpoints that refused it and asked for a back-off.
-        self.asked_to_wait: list[types.EndpointId] = []
+        self.backoff_endpoints: list[types.EndpointId] = []
         # Requests that reached an endpoint, and the endpoints that may have
         # run one.  Only the latter count as attempts of the route.
-        self.sent = 0
-        self.ran_at: set[types.EndpointId] = set()
+        self.send_count = 0
+        self.possible_runners: set[types.EndpointId] = set()
         self.may_have_run = False
         self.failure: Failure | None = None
         # Whether a connection broke while an endpoint had the request.
-        self.broke = False
+        self.connection_broke = False
         # Called for each event of the endpoint's stream.
-        self.on_event: Callable[[], None] = _nothing
+        self.on_event: Callable[[], None] = _ignore_event
         self.times = stream_times.StreamTimes(began=began)
         # Id of the last event sent to the client, for resuming the stream.
-        self.last_event: int | None = None
-        self.passed = caller.passed_on(
+        self.last_event_id: int | None = None
+        self.forwarded_headers = caller.passed_on(
             [
                 item
                 for item in message.end_to_end(req.headers)
@@ -112,26 +112,26 @@
             ]
         )
 
-    def note_broken(
+    def record_broken(
         self, endpoint: endpoints.Endpoint, *, began: float
     ) -> None:
         """Record that the connection of an attempt sent at `began` broke."""
         now = self.site.loop_time()
-        self.broke = True
-        self.site.suspects.record_broken(
+        self.connection_broke = True
+        self.site.crash_tracker.record_broken(
             self.fingerprint, endpoint, ran_s=now - began, now=now
         )
 
     @property
-    def not_again(self) -> list[types.EndpointId]:
+    def excluded_endpoints(self) -> list[types.EndpointId]:
         """Endpoints that the request must not be sent to again.
 
         An endpoint that asked for a back-off may get it once more afterwards,
         but not after several refusals: each one costs a retry.
         """
-        if len(self.asked_to_wait) >= _MOST_WAITS:
+        if len(self.backoff_endpoints) >= _MAX_BACKOFFS:
             return self.tried
-        return [key for key in self.tried if key not in self.asked_to_wait]
+        return [key for key in self.tried if key not in self.backoff_endpoints]
 
     @property
     def is_head(self) -> bool:
@@ -153,22 +153,24 @@
         return retry_decision.Situation(
             repeatable=self.route.repeatable,
             may_have_run=self.may_have_run,
-            attempts_left=self.route.max_attempts - len(self.ran_at),
-            budget_allows=self.budget.allows(now, self.site.gateway_count),
-            time_left_s=self.until - now,
+            attempts_left=self.route.max_attempts - len(self.possible_runners),
+            budget_allows=self.retry_budget.allows(
+                now, self.site.gateway_count
+            ),
+            time_left_s=self.deadline - now,
         )
 
-    def log(self, sentence: str, **fields: object) -> None:
+    def log(self, text: str, **fields: object) -> None:
         """Log a decision on this request."""
         ident = self.request_id or b""
         logs.say(
             logs.Part.GATEWAY,
-            sentence,
+            text,
             request=ident.decode("latin-1"),
             route=self.route.name,
             organisation=self.caller.name,
             version=self.site.version,
-            attempts=self.sent,
+            attempts=self.send_count,
             **fields,
         )
 
@@ -178,10 +180,10 @@
 
         Derived from its id, so that all processes choose the same requests.
         """
-        return sum(self.request_id or b"") % _SAMPLE == 0
+        return sum(self.request_id or b"") % _LOG_EVERY == 0
 
     def refuse(
-        self, reason: Reason, come_back_s: float, status: int = 503
+        self, reason: Reason, retry_after_s: float, status: int = 503
     ) -> None:
         """Answer that the request was not run."""
         self._count(reason)
@@ -189,37 +191,37 @@
             "Refused, not run.",
             reason=reason.value,
             status=status,
-            come_back_s=round(come_back_s, 3),
+            come_back_s=round(retry_after_s, 3),
         )
-        refuse(self.responder, come_back_s, status)
+        refuse(self.responder, retry_after_s, status)
 
-    def end_if_barred(self) -> bool:
+    def end_if_blocked(self) -> bool:
         """End the request if its key is revoked or it is quarantined.
 
         Returns whether it was ended.  Checked before each attempt, as both can
         happen while it waits.
         """
-        return self._end_if_revoked() or self._end_if_held()
+        return self._end_if_revoked() or self._end_if_quarantined()
 
-    def held_s(self) -> float:
+    def quarantine_left_s(self) -> float:
         """Return how much longer it is quarantined, in seconds; 0 if not."""
-        suspects = self.site.suspects
-        if not suspects.book.may_hold_any():
+        tracker = self.site.crash_tracker
+        if not tracker.quarantine.may_hold_any():
             # Usually nothing is quarantined, which saves the fingerprint.
             return 0.0
-        return suspects.quarantine_left_s(
+        return tracker.quarantine_left_s(
             self.fingerprint, self.site.loop_time()
         )
 
-    def _end_if_held(self) -> bool:
+    def _end_if_quarantined(self) -> bool:
         """End the request if it is quarantined; return whether it is."""
-        left_s = self.held_s()
+        left_s = self.quarantine_left_s()
         if left_s <= 0.0:
             return False
         self.log(
             "Held back.",
             fingerprint=self.fingerprint.hex(),
-            endpoints=self.site.suspects.book.ended_endpoints(
+            endpoints=self.site.crash_tracker.quarantine.ended_endpoints(
                 self.fingerprint
             ),
             left_s=round(left_s),
@@ -239,7 +241,7 @@
         else:
             self._count(Reason.KEY_REVOKED)
             self.log("Key was revoked, not run.")
-            ask_for_key(self.responder)
+            require_key(self.responder)
         return True
 
     def fail(self, reason: Reason, status: int) -> None:
@@ -254,14 +256,14 @@
     def _count(self, reason: Reason) -> None:
         self.site.metrics.count("own_answers", reason, self.route.name)
 
-    def delivered(
+    def record_delivered(
         self, endpoint: endpoints.Endpoint, head: message.Head
     ) -> None:
         """Record and log that the client has the whole answer."""
         now = self.site.loop_time()
         took_s = now - self.began
-        self._note_served(head, now)
-        self._time(took_s)
+        self._clear_suspicion(head, now)
+        self._record_times(took_s)
         late = self._is_late(took_s)
         if self.sampled or late or head.status >= 400:
             self.log(
@@ -270,17 +272,20 @@
                 status=head.status,
                 late=late,
                 took_s=round(took_s, 4),
-                **self.times.facts(),
+                **self.times.log_fields(),
             )
 
-    def _note_served(self, head: message.Head, now: float) -> None:
+    def _clear_suspicion(self, head: message.Head, now: float) -> None:
         """Clear the request of suspicion if its answer was complete.
 
         An answer that ends with its connection may be truncated, and a request
         whose attempt broke may crash only the endpoint that prefills it.
         """
-        if not self.broke and head.framing is not message.Framing.CLOSE:
-            self.site.suspects.record_served(self.fingerprint, now)
+        if (
+            not self.connection_broke
+            and head.framing is not message.Framing.CLOSE
+        ):
+            self.site.crash_tracker.record_served(self.fingerprint, now)
 
     def _is_late(self, took_s: float) -> bool:
         """Whether the answer, or an event of it, missed its target."""
@@ -288,7 +293,7 @@
             return self.times.is_late(self.route)
         return 0.0 < self.route.target_s < took_s
 
-    def _time(self, took_s: float) -> None:
+    def _record_times(self, took_s: float) -> None:
         """Record the answer's times in the histograms."""
         metrics = self.site.metrics
         name = self.route.name
@@ -298,18 +303,18 @@
             metrics.time("longest_pause", name, self.times.longest_pause_s)
 
 
-def _nothing() -> None:
+def _ignore_event() -> None:
     """Ignore an event."""
 
 
-def ask_for_key(responder: server.Responder) -> None:
+def require_key(responder: server.Responder) -> None:
     """Answer that the request has no known key."""
     responder.whole(401, [headers.AUTH_CHALLENGE], b"")
 
 
 def refuse(
-    responder: server.Responder, come_back_s: float, status: int = 503
+    responder: server.Responder, retry_after_s: float, status: int = 503
 ) -> None:
     """Answer that the request was not run, with a Retry-After header."""
-    after = b"%.2f" % come_back_s
-    responder.whole(status, [(b"retry-after", after)], b"")
+    value = b"%.2f" % retry_after_s
+    responder.whole(status, [(b"retry-after", value)], b"")
--- a/rackpost/gateway/charge.py
+++ b/rackpost/gateway/charge.py
@@ -29,7 +29,7 @@
         self._sent_at = 0.0
         quotas.admit(self._name, units, now)
 
-    def sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Count the units of a send to an endpoint; a retry counts again."""
         if not self._is_waiting:
             self._quotas.admit(self._name, self._units, now)
@@ -37,14 +37,14 @@
         self._sent_at = now
         self._quotas.record_sent(self._name, self._units, now)
 
-    def not_run(self, now: float) -> None:
+    def record_not_run(self, now: float) -> None:
         """Record that the endpoint did not run the last send."""
         self._quotas.record_not_run(
             self._name, self._units, self._sent_at, now
         )
         self._is_waiting = True
 
-    def end(self, now: float) -> None:
+    def release(self, now: float) -> None:
         """Release the units of a request that was never run."""
         if self._is_waiting:
             self._is_waiting = False
--- a/rackpost/gateway/control_links.py
+++ b/rackpost/gateway/control_links.py
@@ -20,7 +20,7 @@
 
 # Endpoints with a heartbeat within this time are reported to a coordinator
 # that asks, in seconds; a little more than the heartbeat interval.
-_FRESH_S = 1.5
+_RECENT_HEARTBEAT_S = 1.5
 
 
 class ControlLinks:
@@ -35,7 +35,7 @@
         self._host = site.host
         self._loop = asyncio.get_running_loop()
         port = self._host.internal_ports[0]
-        self._loads = f"{self._host.ip}:{port + links.LOADS_PORT}"
+        self._load_address = f"{self._host.ip}:{port + links.LOADS_PORT}"
         self._dialler = links.Dialler(
             part=logs.Part.GATEWAY,
             port=port + links.LINKS_PORT,
@@ -43,12 +43,12 @@
             on_link=self._use,
         )
         self._seeds: set[str] = set()
-        self._told: dict[str, messages.Peers] = {}
+        self._reports: dict[str, messages.Peers] = {}
         self._changing: dict[str, tuple[types.EndpointId, ...]] = {}
         self._updates = routing_updates.RoutingUpdates(site=site)
         # Links on which a coordinator has reported its document version.
         self._linked: set[websocket.WebSocketChannel] = set()
-        site.suspects.publish = self._tell_suspicions
+        site.crash_tracker.publish = self._publish_suspicions
         self.reload(self._host)
 
     def reload(self, host: settings.HostSettings) -> None:
@@ -56,62 +56,64 @@
         self._seeds = {links.host_of(item) for item in host.seeds}
         self._set_hosts()
 
-    def _on_changing(self, host: str, msg: messages.ChangingEndpoints) -> None:
+    def _on_changing_roles(
+        self, host: str, msg: messages.ChangingEndpoints
+    ) -> None:
         # Only the leader reports any.  A former leader's report is dropped
         # with its next report or its link.
         self._changing[host] = msg.ids
         self._site.eligible.set_changing_role(
             key for ids in self._changing.values() for key in ids
         )
-        self._site.room_changed.set()
+        self._site.capacity_changed.set()
 
-    def tell_demands(self) -> None:
+    def publish_demands(self) -> None:
         """Report the demand of this gateway's clients to all coordinators."""
         msg = messages.Demands(
             items=self._site.demands(),
             quotas=self._site.quota_use.recent(self._loop.time()),
         )
-        self._tell_all(msg)
+        self._send_to_all(msg)
 
-    def _tell_all(
+    def _send_to_all(
         self,
         msg: msgspec.Struct,
-        but: websocket.WebSocketChannel | None = None,
+        exclude: websocket.WebSocketChannel | None = None,
     ) -> None:
         """Send a message to all coordinators but one.
 
         A link whose queue is full may be closed by the send.
         """
         for conn in list(self._linked):
-            if conn is not but:
+            if conn is not exclude:
                 conn.send(msg)
 
-    def _tell_suspicions(
+    def _publish_suspicions(
         self, items: tuple[quarantine.Suspicion, ...]
     ) -> None:
         """Send suspicions against requests to all coordinators."""
-        self._tell_all(messages.Suspicions(items=items))
+        self._send_to_all(messages.Suspicions(items=items))
 
     def _on_linked(self, conn: websocket.WebSocketChannel) -> None:
         """Send the known suspicions to a newly linked coordinator."""
         self._linked.add(conn)
-        items = self._site.suspects.book.suspicions(1)
+        items = self._site.crash_tracker.quarantine.suspicions(1)
         if items:
             conn.send(messages.Suspicions(items=items))
 
-    def _latest(self) -> list[messages.Peers]:
+    def _current_reports(self) -> list[messages.Peers]:
         """Return the reports of linked coordinators, or else all reports."""
         linked = [
-            told
-            for host, told in self._told.items()
+            report
+            for host, report in self._reports.items()
             if host in self._dialler.linked_hosts
         ]
-        return linked or list(self._told.values())
+        return linked or list(self._reports.values())
 
     def _set_hosts(self) -> None:
         hosts = set(self._seeds)
-        for told in self._latest():
-            hosts.update(told.coordinators)
+        for report in self._current_reports():
+            hosts.update(report.coordinators)
         self._dialler.set_hosts(hosts)
 
     async def _use(self, host: str, conn: websocket.WebSocketChannel) -> None:
@@ -120,14 +122,16 @@
             closed=lambda: self._closed(host, conn),
         )
         conn.send(
-            messages.GatewayHello(vm=self._host.vm, load_address=self._loads)
+            messages.GatewayHello(
+                vm=self._host.vm, load_address=self._load_address
+            )
         )
 
     def _closed(self, host: str, conn: websocket.WebSocketChannel) -> None:
         self._linked.discard(conn)
-        self._updates.lost(conn)
+        self._updates.link_lost(conn)
         if self._changing.pop(host, None):
-            self._on_changing(host, messages.ChangingEndpoints(ids=()))
+            self._on_changing_roles(host, messages.ChangingEndpoints(ids=()))
         # Its report on other hosts is kept: they may still be running.
 
     def _on_message(
@@ -139,9 +143,9 @@
         if isinstance(msg, messages.RoutingVersion):
             if conn not in self._linked:
                 self._on_linked(conn)
-            self._updates.told(conn, host, msg.version)
+            self._updates.record_version(conn, host, msg.version)
         elif isinstance(msg, messages.RoutingChunk):
-            self._updates.take(conn, msg)
+            self._updates.receive_chunk(conn, msg)
         elif isinstance(msg, messages.EndpointUpdate):
             self._on_endpoints(host, conn, msg)
         elif isinstance(msg, messages.HeartbeatNotice):
@@ -149,21 +153,21 @@
                 msg.digests, self._loop.time()
             )
         elif isinstance(msg, messages.SilenceQuery):
-            self._on_silent(conn, msg)
+            self._on_silence_query(conn, msg)
         elif isinstance(msg, messages.Suspicions):
-            self._site.suspects.receive(msg.items, self._loop.time())
+            self._site.crash_tracker.receive(msg.items, self._loop.time())
         elif isinstance(msg, messages.ChangingEndpoints):
-            self._on_changing(host, msg)
+            self._on_changing_roles(host, msg)
         elif isinstance(msg, messages.Peers):
-            self._told[host] = msg
+            self._reports[host] = msg
             self._set_hosts()
             self._set_gateways()
 
-    def _on_silent(
+    def _on_silence_query(
         self, conn: websocket.WebSocketChannel, msg: messages.SilenceQuery
     ) -> None:
         """Report which endpoints another coordinator has heartbeats of."""
-        since = self._loop.time() - _FRESH_S
+        since = self._loop.time() - _RECENT_HEARTBEAT_S
         known = set(self._site.table.with_heartbeat_since(since))
         found = tuple(key for key in msg.ids if key in known)
         if found:
@@ -196,10 +200,10 @@
                 told_by=host,
             )
         if changed:
-            self._pass_on(conn, changed)
-            self._site.room_changed.set()
+            self._relay_updates(conn, changed)
+            self._site.capacity_changed.set()
 
-    def _pass_on(
+    def _relay_updates(
         self,
         source: websocket.WebSocketChannel,
         changed: list[endpoints.Endpoint],
@@ -211,11 +215,15 @@
                 site.host.vm, site.gateways, item.id
             ):
                 continue
-            self._tell_all(directory.update_for(item), but=source)
+            self._send_to_all(directory.update_for(item), exclude=source)
 
     def _set_gateways(self) -> None:
         self._site.set_gateways(
-            [item for told in self._latest() for item in told.gateways]
+            [
+                item
+                for report in self._current_reports()
+                for item in report.gateways
+            ]
         )
 
     def close(self) -> None:
--- a/rackpost/gateway/endpoint_calls.py
+++ b/rackpost/gateway/endpoint_calls.py
@@ -29,15 +29,17 @@
     Raises ExchangeError if there is none, Barred if the endpoint is
     ineligible.
     """
-    check(site, endpoint)
-    most = site.connections_to(service)
-    async with site.pool.connection(endpoint.address, most=most) as conn:
+    check_eligible(site, endpoint)
+    max_connections = site.max_connections_to(service)
+    async with site.pool.connection(
+        endpoint.address, most=max_connections
+    ) as conn:
         # Another request's answer may have made it ineligible meanwhile.
-        check(site, endpoint)
+        check_eligible(site, endpoint)
         yield conn
 
 
-def check(site: site_mod.Site, endpoint: endpoints.Endpoint) -> None:
+def check_eligible(site: site_mod.Site, endpoint: endpoints.Endpoint) -> None:
     """Raise Barred if the endpoint is ineligible."""
     endpoint_notices.check_eligible(site.eligible, endpoint, site.loop_time())
 
@@ -58,22 +60,22 @@
     Raises ExchangeError where there is no answer; Barred if the endpoint is
     ineligible, or names a rate and there is no valid `grant`.
     """
-    check(site, endpoint)
-    site.grants.spend(endpoint, grant)
-    found = await conn.request(
+    check_eligible(site, endpoint)
+    site.rate_grants.spend(endpoint, grant)
+    answer = await conn.request(
         head=head, body=body, request_id=request_id, is_head=is_head
     )
-    news = endpoint_notices.record_answer(
+    new_reasons = endpoint_notices.record_answer(
         site.eligible,
         endpoint,
-        found,
+        answer,
         part=logs.Part.GATEWAY,
         now=site.loop_time(),
     )
-    for bar in news:
-        site.metrics.count("endpoints_ask", bar, endpoint.service)
+    for reason in new_reasons:
+        site.metrics.count("endpoints_ask", reason, endpoint.service)
         # Waiting requests choose another endpoint, or are refused now.
-        site.room_changed.set()
+        site.capacity_changed.set()
         # Tell the other gateways at once.
         site.loads_changed.set()
-    return found
+    return answer
--- a/rackpost/gateway/forward.py
+++ b/rackpost/gateway/forward.py
@@ -13,43 +13,45 @@
 
 # Retry-After of refused requests, in seconds: a minimum and a random part that
 # spreads their retries.
-_COME_BACK_S = 0.25
-_COME_BACK_SPREAD_S = 0.5
+_MIN_RETRY_AFTER_S = 0.25
+_RETRY_AFTER_SPREAD_S = 0.5
 # After its start a gateway learns of the endpoints within two of their
 # heartbeats; requests wait for them this long, in seconds.
-_HEARD_S = 2.5
+_STARTUP_WAIT_S = 2.5
 # Interval at which waiting requests look for an endpoint, in seconds.
-_LOOK_S = 0.03
-# The same while no endpoint is available, in seconds.
-_LOOK_AGAIN_S = 0.25
+_CHECK_INTERVAL_S = 0.03
+# Upper bound of the interval while no endpoint is available, in seconds.
+_MAX_CHECK_INTERVAL_S = 0.25
 
 
-def come_back_s(call: call_mod.Call) -> float:
+def retry_after_s(call: call_mod.Call) -> float:
     """Return when a refused client should retry, in seconds.
 
     Not before an endpoint is available; where all endpoints name a rate,
     retries are spaced at that rate.
     """
     site = call.site
-    opens_s = _opens_s(call) or 0.0
-    per_s = _own_per_s(call)
-    if per_s is not None:
-        line = site.line(call.service.name)
-        opens_s = line.retry_after_s(opens_s, per_s, site.loop_time())
-    spread_s = _COME_BACK_SPREAD_S * site.rng.random()
-    return max(_COME_BACK_S, opens_s) + spread_s
+    available_in_s = _available_in_s(call) or 0.0
+    rate_per_s = _own_rate_per_s(call)
+    if rate_per_s is not None:
+        queue = site.plain_queue(call.service.name)
+        available_in_s = queue.retry_after_s(
+            available_in_s, rate_per_s, site.loop_time()
+        )
+    spread_s = _RETRY_AFTER_SPREAD_S * site.rng.random()
+    return max(_MIN_RETRY_AFTER_S, available_in_s) + spread_s
 
 
 async def forward(call: call_mod.Call) -> None:
     """Answer a request for a plain service."""
     while True:
-        endpoint = _choose_in_turn(call) or await _wait_for_one(call)
-        if call.end_if_barred():
+        endpoint = _choose_in_turn(call) or await _wait_for_endpoint(call)
+        if call.end_if_blocked():
             return
         if endpoint is None:
             give_up(call, call_mod.Reason.NO_ENDPOINT)
             return
-        if not call.tried and _comes_back(call, endpoint):
+        if not call.tried and _refuse_if_late(call, endpoint):
             return
         if await _send(call, endpoint):
             return
@@ -64,27 +66,27 @@
         ahead = site.loads.total(endpoint.id).requests
         ended = await attempt.run(call, endpoint)
     if ended is not None:
-        return not goes_on(call, ended)
+        return not retry_or_answer(call, ended)
     took = site.loop_time() - began
     site.health.record_work(endpoint.id, took, ahead / max(1, endpoint.slots))
     return True
 
 
-def _comes_back(call: call_mod.Call, endpoint: endpoints.Endpoint) -> bool:
+def _refuse_if_late(call: call_mod.Call, endpoint: endpoints.Endpoint) -> bool:
     """Refuse a request that would be late or delay others too much.
 
     Returns whether it was refused.
     """
     site = call.site
     now = site.loop_time()
-    key = site.refused.key(call.route.name, call.req.target, call.req.body)
+    key = site.refusals.key(call.route.name, call.req.target, call.req.body)
     arrival = admission.Arrival(
         ahead=site.loads.total(endpoint.id).requests,
         slots=endpoint.slots,
         work_s=site.health.work_s(endpoint.id),
         target_s=call.route.target_s,
-        remaining_s=call.until - now,
-        refused_before=site.refused.was_refused(key, now),
+        remaining_s=call.deadline - now,
+        refused_before=site.refusals.was_refused(key, now),
     )
     if not admission.should_refuse(arrival):
         return False
@@ -96,9 +98,9 @@
         came_back=arrival.refused_before,
         expected_s=round(admission.expected_s(arrival), 3),
     )
-    site.refused.add(key, now)
-    after = admission.retry_after_s(arrival, site.rng.random())
-    call.refuse(call_mod.Reason.WOULD_BE_LATE, after)
+    site.refusals.add(key, now)
+    retry_after = admission.retry_after_s(arrival, site.rng.random())
+    call.refuse(call_mod.Reason.WOULD_BE_LATE, retry_after)
     return True
 
 
@@ -106,7 +108,9 @@
     site = call.site
     now = site.loop_time()
     name = call.service.name
-    return site.chooser.choose_plain(name, exclude=call.not_again, now=now)
+    return site.chooser.choose_plain(
+        name, exclude=call.excluded_endpoints, now=now
+    )
 
 
 def _role(call: call_mod.Call) -> types.Role:
@@ -116,7 +120,7 @@
     return types.Role.DECODE
 
 
-def _opens_s(call: call_mod.Call) -> float | None:
+def _available_in_s(call: call_mod.Call) -> float | None:
     """Return the time until an endpoint is available, in seconds.
 
     None where there is no endpoint, or the time is not known.
@@ -125,43 +129,47 @@
     return site.chooser.candidates.available_in_s(
         call.service.name,
         _role(call),
-        exclude=call.not_again,
+        exclude=call.excluded_endpoints,
         now=site.loop_time(),
     )
 
 
 def _rank(call: call_mod.Call) -> plain_queue.Rank:
-    return plain_queue.Rank(priority=call.priority, deadline=call.until)
+    return plain_queue.Rank(priority=call.priority, deadline=call.deadline)
 
 
 def _choose_in_turn(call: call_mod.Call) -> endpoints.Endpoint | None:
     """Do as `_choose`, unless other waiting requests are ahead."""
-    line = call.site.line(call.service.name)
-    if not line.may_check(_rank(call), call.site.loop_time()):
+    queue = call.site.plain_queue(call.service.name)
+    if not queue.may_check(_rank(call), call.site.loop_time()):
         return None
     return _choose(call)
 
 
-def _own_per_s(call: call_mod.Call) -> float | None:
-    """Return this gateway's share of the rate that all endpoints name.
+def _own_rate_per_s(call: call_mod.Call) -> float | None:
+    """Return the requests a second that endpoints accept from here.
 
-    In requests a second; None if one of them names no rate.
+    None unless all endpoints name a rate.
     """
     site = call.site
     return site.chooser.candidates.own_rate_per_s(
         call.service.name,
         _role(call),
-        exclude=call.not_again,
+        exclude=call.excluded_endpoints,
         now=site.loop_time(),
     )
 
 
-async def _wait_for_one(call: call_mod.Call) -> endpoints.Endpoint | None:
+async def _wait_for_endpoint(call: call_mod.Call) -> endpoints.Endpoint | None:
     """Wait for an endpoint; None if none will be available in time."""
-    return await _first_endpoint(call) or await _when_one_opens(call)
+    return await _wait_for_first_endpoint(call) or await _wait_until_available(
+        call
+    )
 
 
-async def _when_one_opens(call: call_mod.Call) -> endpoints.Endpoint | None:
+async def _wait_until_available(
+    call: call_mod.Call,
+) -> endpoints.Endpoint | None:
     """Wait until a back-off ends or a rate allows the next request.
 
     A refused caller would retry the same endpoints with less time left, so
@@ -169,15 +177,17 @@
     for those that can't.
     """
     site = call.site
-    line = site.line(call.service.name)
-    with line.join(_rank(call)) as waiter:
+    queue = site.plain_queue(call.service.name)
+    with queue.join(_rank(call)) as waiter:
         while True:
-            opens_s = _opens_s(call)
-            if opens_s is None or _is_too_late(call, opens_s):
+            available_in_s = _available_in_s(call)
+            if available_in_s is None or _is_too_late(call, available_in_s):
                 return None
             # Bounds the CPU time of many waiting requests; an endpoint that
             # appears meanwhile is used a little later.
-            pause_s = min(max(opens_s, _LOOK_S), _LOOK_AGAIN_S)
+            pause_s = min(
+                max(available_in_s, _CHECK_INTERVAL_S), _MAX_CHECK_INTERVAL_S
+            )
             waiter.next_check_at = site.loop_time() + pause_s
             await asyncio.sleep(pause_s)
             endpoint = _choose_in_turn(call)
@@ -185,22 +195,22 @@
                 return endpoint
 
 
-def _is_too_late(call: call_mod.Call, opens_s: float) -> bool:
+def _is_too_late(call: call_mod.Call, available_in_s: float) -> bool:
     """Whether the request would miss its deadline in the queue."""
     site = call.site
     name = call.service.name
     answer_s = site.chooser.median_answer_s(name, _role(call))
     wait_s = plain_queue.expected_wait_s(
-        ahead=site.line(name).ahead(_rank(call)),
+        ahead=site.plain_queue(name).ahead(_rank(call)),
         count=len(site.chooser.candidates.members(name, _role(call))),
         answer_s=answer_s,
-        available_in_s=opens_s,
-        rate_per_s=_own_per_s(call),
+        available_in_s=available_in_s,
+        rate_per_s=_own_rate_per_s(call),
     )
-    return site.loop_time() + wait_s + answer_s > call.until
+    return site.loop_time() + wait_s + answer_s > call.deadline
 
 
-async def _first_endpoint(
+async def _wait_for_first_endpoint(
     call: call_mod.Call,
 ) -> endpoints.Endpoint | None:
     """Wait for the first endpoint known after the gateway's start."""
@@ -208,32 +218,35 @@
     if call.tried:
         return None
     endpoint = None
-    while endpoint is None and site.loop_time() < site.began + _HEARD_S:
-        await asyncio.sleep(_LOOK_S)
+    while endpoint is None and site.loop_time() < site.began + _STARTUP_WAIT_S:
+        await asyncio.sleep(_CHECK_INTERVAL_S)
         endpoint = _choose(call)
     return endpoint
 
 
-def goes_on(call: call_mod.Call, ended: retry_decision.AttemptEnd) -> bool:
-    """Whether to retry; if not, the client has been answered."""
+def retry_or_answer(
+    call: call_mod.Call, ended: retry_decision.AttemptEnd
+) -> bool:
+    """Return whether to retry; if not, the client has been answered."""
     now = call.site.loop_time()
     step = retry_decision.next_step(ended, call.situation(now))
     if step is retry_decision.NextStep.RETRY:
         if ended is not retry_decision.AttemptEnd.NOT_SENT:
-            call.budget.record_retry(now)
+            call.retry_budget.record_retry(now)
             call.site.metrics.count("repeats", ended, call.route.name)
             call.log(
                 "Tried again.",
                 after=ended.value,
                 budget_left=round(
-                    call.budget.remaining(now, call.site.gateway_count), 1
+                    call.retry_budget.remaining(now, call.site.gateway_count),
+                    1,
                 ),
             )
         return True
     if step is retry_decision.NextStep.PASS_ON and call.failure is not None:
-        answer_relay.pass_whole(call, call.failure.head, call.failure.body)
+        answer_relay.relay_whole(call, call.failure.head, call.failure.body)
     elif step is retry_decision.NextStep.REFUSE:
-        call.refuse(call_mod.Reason.REJECTED, come_back_s(call))
+        call.refuse(call_mod.Reason.REJECTED, retry_after_s(call))
     else:
         call.fail(call_mod.Reason.BROKEN, 502)
     return False
@@ -242,8 +255,8 @@
 def give_up(call: call_mod.Call, reason: call_mod.Reason) -> None:
     """Answer the client after the last attempt."""
     if call.failure is not None and not call.responder.started:
-        answer_relay.pass_whole(call, call.failure.head, call.failure.body)
+        answer_relay.relay_whole(call, call.failure.head, call.failure.body)
     elif call.may_have_run:
         call.fail(reason, 502)
     else:
-        call.refuse(reason, come_back_s(call))
+        call.refuse(reason, retry_after_s(call))
--- a/rackpost/gateway/generate.py
+++ b/rackpost/gateway/generate.py
@@ -21,16 +21,16 @@
 from rackpost.routing import model
 
 # A refusal is sent this long before the client would leave, in seconds.
-_BEFORE_LEAVING_S = 0.1
+_REFUSAL_LEAD_S = 0.1
 # Average share of an answer's tokens for which memory is held while it is
 # generated: half would be used, and the rest is reserved.
-_KEPT_SHARE = 0.75
+_AVERAGE_HELD_SHARE = 0.75
 # Times that a request is resumed at the endpoint where its connection broke;
 # another break there means that the endpoint is unhealthy.
-_KEPT_TRIES = 2
+_MAX_RESUMES = 2
 # Events after which a running stream counts for the decode timing, while no
 # stream has ended yet.
-_EVENTS_SEEN = 4
+_TIMING_EVENTS = 4
 
 
 class Generation:
@@ -40,80 +40,91 @@
         self._call = call
         self._engine = engine
         sizes = headers.request_sizes(call.req.headers)
-        self._prompt = sizes.prompt if sizes else 0
-        self._most = sizes.max_output if sizes else 0
-        self._guess = (
+        self._prompt_tokens = sizes.prompt if sizes else 0
+        self._max_tokens = sizes.max_output if sizes else 0
+        self._expected_tokens = (
             min(sizes.expected_output, sizes.max_output) if sizes else 0
         )
-        part = headers.own_prompt_part(call.req.headers)
+        prompt_part = headers.own_prompt_part(call.req.headers)
         site = call.site
-        book = site.refused
-        self._key = book.key(call.route.name, part, call.req.body)
+        refusals = site.refusals
+        self._refusal_key = refusals.key(
+            call.route.name, prompt_part, call.req.body
+        )
         # A refused request is late from the start when it is sent again: its
         # time counts from the first attempt.
-        self._came_back = book.was_refused(self._key, call.began)
-        self._read = prefill.Prefilled(call=call)
+        self._refused_before = refusals.was_refused(
+            self._refusal_key, call.began
+        )
+        self._prefill_state = prefill.PrefillState(call=call)
         # Whether prefill endpoints have failed: the prompt is to be prefilled
         # in place.
         self._in_place = False
         # The endpoint where the last connection broke, and the number of times
         # that the request was resumed at such an endpoint.
-        self._broke_at: endpoints.Endpoint | None = None
-        self._kept_tries = 0
+        self._broken_endpoint: endpoints.Endpoint | None = None
+        self._resumes = 0
         self._progress = self._new_progress()
 
     def _new_progress(self) -> kv_forecast.Progress:
         return kv_forecast.Progress(
-            prompt=self._prompt,
-            guess=self._call.site.lengths.expected(self._guess, self._most),
-            max_tokens=self._most,
+            prompt=self._prompt_tokens,
+            guess=self._call.site.answer_lengths.expected(
+                self._expected_tokens, self._max_tokens
+            ),
+            max_tokens=self._max_tokens,
             event_tokens=self._engine.event_tokens,
-            spread=self._call.site.lengths.spread,
+            spread=self._call.site.answer_lengths.spread,
         )
 
     async def run(self) -> None:
         """Answer the request."""
         call = self._call
-        self._note_demand()
+        self._record_demand()
         while True:
             self._progress = self._new_progress()
-            place = self._kept_place() or await call.site.room.reserve(
-                self._wanted()
+            reservation = (
+                self._reserve_again()
+                or await call.site.admission_queue.reserve(
+                    self._reservation_request()
+                )
             )
-            if isinstance(place, reservation_mod.NoCapacity):
-                self._refuse_full(place)
+            if isinstance(reservation, reservation_mod.NoCapacity):
+                self._refuse_no_capacity(reservation)
                 return
-            if call.end_if_barred():
-                place.release()
+            if call.end_if_blocked():
+                reservation.release()
                 return
-            call.on_event = self._on_event(place)
+            call.on_event = self._on_event(reservation)
             try:
-                ended = await self._run_at(place)
+                ended = await self._run_at(reservation)
             finally:
-                place.release()
-            if ended is None or not forward.goes_on(call, ended):
-                self._read.release()
+                reservation.release()
+            if ended is None or not forward.retry_or_answer(call, ended):
+                self._prefill_state.release()
                 return
             if ended is retry_decision.AttemptEnd.BROKEN:
-                self._broke_at = place.endpoint
+                self._broken_endpoint = reservation.endpoint
 
-    def _kept_place(self) -> reservation_mod.DecodeReservation | None:
+    def _reserve_again(self) -> reservation_mod.DecodeReservation | None:
         """Reserve the endpoint whose connection broke, if it may be reused.
 
         A healthy endpoint still has the KV cache; any other endpoint needs the
         whole prompt prefilled again.
         """
-        endpoint, self._broke_at = self._broke_at, None
-        if endpoint is None or self._kept_tries >= _KEPT_TRIES:
+        endpoint, self._broken_endpoint = self._broken_endpoint, None
+        if endpoint is None or self._resumes >= _MAX_RESUMES:
             return None
-        self._kept_tries += 1
-        place = self._call.site.room.reserve_at(self._wanted(), endpoint)
-        if place is not None:
+        self._resumes += 1
+        reservation = self._call.site.admission_queue.reserve_at(
+            self._reservation_request(), endpoint
+        )
+        if reservation is not None:
             self._call.log("Goes on where it broke.", endpoint=endpoint.id)
-        return place
+        return reservation
 
     def _on_event(
-        self, place: reservation_mod.DecodeReservation
+        self, reservation: reservation_mod.DecodeReservation
     ) -> Callable[[], None]:
         progress = self._progress
         site = self._call.site
@@ -123,177 +134,193 @@
             nonlocal began
             if progress.generated_tokens == 0:
                 began = site.loop_time()
-                self._note_start(place)
-            place.record_prefilled()
+                self._record_start(reservation)
+            reservation.record_prefilled()
             if (
                 progress.generated_tokens
-                == _EVENTS_SEEN * self._engine.event_tokens
+                == _TIMING_EVENTS * self._engine.event_tokens
             ):
-                site.pace.record_partial_decode(
+                site.token_timing.record_partial_decode(
                     progress.generated_tokens, site.loop_time() - began
                 )
             progress.record_event()
 
         return on_event
 
-    def _note_start(self, place: reservation_mod.DecodeReservation) -> None:
+    def _record_start(
+        self, reservation: reservation_mod.DecodeReservation
+    ) -> None:
         """Learn from the time to the first event."""
-        if place.prefill_endpoint is not None:
+        if reservation.prefill_endpoint is not None:
             site = self._call.site
-            site.pace.record_start(
-                self._prompt, site.loop_time() - place.reserved_at
+            site.token_timing.record_start(
+                self._prompt_tokens, site.loop_time() - reservation.reserved_at
             )
 
-    def _note_demand(self) -> None:
+    def _record_demand(self) -> None:
         """Count what the request demands of each role of endpoint."""
         site = self._call.site
         out = self._progress.run.remaining_tokens
         # More memory is reserved than a run holds on average.
-        held = self._prompt + _KEPT_SHARE * out
+        held_tokens = self._prompt_tokens + _AVERAGE_HELD_SHARE * out
         share = max(
-            held / max(1, self._engine.memory_tokens),
+            held_tokens / max(1, self._engine.memory_tokens),
             1.0 / max(1, self._engine.slots),
         )
-        site.meter(self._call.service.name).add(
-            self._call.began, prompt=self._prompt, out=out, share=share
+        site.demand_meter(self._call.service.name).add(
+            self._call.began, prompt=self._prompt_tokens, out=out, share=share
         )
 
-    def _wanted(self) -> reservation_mod.ReservationRequest:
+    def _reservation_request(self) -> reservation_mod.ReservationRequest:
         call = self._call
         return reservation_mod.ReservationRequest(
             service=call.service.name,
             memory_tokens=self._engine.memory_tokens,
             run=self._progress.run,
-            exclude=call.not_again,
-            event_interval_s=call.site.pace.decode_s(
+            exclude=call.excluded_endpoints,
+            event_interval_s=call.site.token_timing.decode_s(
                 self._engine.event_tokens
             ),
             in_place=self._in_place,
-            claim=self._claim(),
+            claim=self._waiting_request(),
         )
 
-    def _claim(self) -> queue_order.WaitingRequest:
+    def _waiting_request(self) -> queue_order.WaitingRequest:
         call = self._call
-        pace = call.site.pace
-        start_s = pace.start_s(self._prompt)
+        timing = call.site.token_timing
+        start_s = timing.start_s(self._prompt_tokens)
         return queue_order.WaitingRequest(
             priority=call.priority,
             target=self._target(),
             start_by=self._start_by(),
             # A request that the planned stop would interrupt is not started.
-            deadline=min(call.until, call.site.planned_stop.ends_at),
-            gateway_stopping=call.site.planned_stop.is_under_way,
-            refused_before=self._came_back,
+            deadline=min(call.deadline, call.site.planned_stop.ends_at),
+            gateway_stopping=call.site.planned_stop.has_begun,
+            refused_before=self._refused_before,
             start_s=start_s,
-            run_s=start_s + pace.decode_s(self._progress.run.remaining_tokens),
+            run_s=start_s
+            + timing.decode_s(self._progress.run.remaining_tokens),
         )
 
     def _target(self) -> float:
         call = self._call
-        if self._came_back:
+        if self._refused_before:
             return call.began
         return call.began + call.route.target_s
 
     def _start_by(self) -> float:
         call = self._call
         if not call.route.silence_s:
-            return call.until
+            return call.deadline
         # In a started stream the client's silence limit counts from the last
         # event.
         began = call.began
         if call.responder.started:
             began = call.site.loop_time()
-        leaves = began + call.route.silence_s
-        return min(call.until, leaves - _BEFORE_LEAVING_S)
+        client_leaves_at = began + call.route.silence_s
+        return min(call.deadline, client_leaves_at - _REFUSAL_LEAD_S)
 
     async def _run_at(
-        self, place: reservation_mod.DecodeReservation
+        self, reservation: reservation_mod.DecodeReservation
     ) -> retry_decision.AttemptEnd | None:
         call = self._call
-        decode = place.endpoint
+        decode = reservation.endpoint
         try:
             async with contextlib.AsyncExitStack() as stack:
                 enter = stack.enter_async_context
                 conn = await enter(attempt.connected(call, decode))
                 # The grant comes first, so that no prompt is prefilled for an
                 # endpoint whose rate is used up.
-                grant = await enter(attempt.granted(call, decode))
-                if not await self._can_run(place):
+                grant = await enter(attempt.acquire_grant(call, decode))
+                if not await self._ensure_prefilled(reservation):
                     self._in_place = True
                     return retry_decision.AttemptEnd.NOT_SENT
                 self._in_place = False
                 began = call.site.loop_time()
-                ended = await attempt.run_on(
-                    call, decode, conn, self._read.headers(), grant
+                ended = await attempt.run_on_connection(
+                    call, decode, conn, self._prefill_state.headers(), grant
                 )
         except exceptions.ExchangeError as exc:
-            return attempt.not_connected(call, decode, exc)
+            return attempt.record_not_connected(call, decode, exc)
         if ended is None:
-            self._note_made(call.site.loop_time() - began)
+            self._record_answer(call.site.loop_time() - began)
         elif ended is not retry_decision.AttemptEnd.NOT_SENT:
-            self._read.release()
+            self._prefill_state.release()
         return ended
 
-    def _note_made(self, took_s: float) -> None:
+    def _record_answer(self, took_s: float) -> None:
         """Learn from a complete answer."""
         site = self._call.site
         made = self._progress.generated_tokens
-        self._read.taken()
-        site.pace.record_decode(made, took_s)
-        site.lengths.record_answer(guess=self._guess, actual=made)
+        self._prefill_state.record_fetched()
+        site.token_timing.record_decode(made, took_s)
+        site.answer_lengths.record_answer(
+            guess=self._expected_tokens, actual=made
+        )
 
-    async def _can_run(self, place: reservation_mod.DecodeReservation) -> bool:
+    async def _ensure_prefilled(
+        self, reservation: reservation_mod.DecodeReservation
+    ) -> bool:
         """Prefill the prompt; return whether decode may start.
 
         False if no prefill endpoint succeeded: the request then has to wait
         for a prefill in place.
         """
-        if self._read.is_fresh(self._engine):
+        if self._prefill_state.is_fresh(self._engine):
             return True
-        self._read.release()
-        if place.prefill_endpoint is None or self._prompt == 0:
+        self._prefill_state.release()
+        if reservation.prefill_endpoint is None or self._prompt_tokens == 0:
             return True
-        await self._prefill(place)
+        await self._prefill(reservation)
         # Release the prefill endpoint, also after a failure.
-        place.record_prefilled()
-        return self._read.is_fresh(self._engine)
+        reservation.record_prefilled()
+        return self._prefill_state.is_fresh(self._engine)
 
-    async def _prefill(self, place: reservation_mod.DecodeReservation) -> None:
+    async def _prefill(
+        self, reservation: reservation_mod.DecodeReservation
+    ) -> None:
         call = self._call
         now = call.site.loop_time()
-        first = not self._read.arrivals and not call.sent
-        left = call.budget.remaining(now, call.site.gateway_count)
+        first = not self._prefill_state.arrivals and not call.send_count
+        left = call.retry_budget.remaining(now, call.site.gateway_count)
         # A second prefill elsewhere is one more arrival than one in place.
         if first or left >= 2.0:
             await prefill.prefill(
-                call, place.prefill_endpoint, self._prompt, self._read
+                call,
+                reservation.prefill_endpoint,
+                self._prompt_tokens,
+                self._prefill_state,
             )
 
-    def _would_be_cut(self) -> bool:
+    def _would_be_interrupted(self) -> bool:
         """Whether a planned stop leaves too little time for the answer."""
-        claim = self._claim()
+        claim = self._waiting_request()
         ends_at = self._call.site.planned_stop.ends_at
         return self._call.site.loop_time() + claim.run_s > ends_at
 
-    def _refuse_full(self, full: reservation_mod.NoCapacity) -> None:
+    def _refuse_no_capacity(
+        self, no_capacity: reservation_mod.NoCapacity
+    ) -> None:
         call = self._call
-        if self._would_be_cut() and not call.may_have_run:
+        if self._would_be_interrupted() and not call.may_have_run:
             # Other gateways can serve it at once, and as a new request.
-            call.refuse(call_mod.Reason.STOPPING, call_mod.ELSEWHERE_S)
+            call.refuse(
+                call_mod.Reason.STOPPING, call_mod.STOPPING_RETRY_AFTER_S
+            )
             return
         call.log(
             "No room.",
-            expected_wait_s=round(full.expected_wait_s, 3),
-            prompt=self._prompt,
+            expected_wait_s=round(no_capacity.expected_wait_s, 3),
+            prompt=self._prompt_tokens,
             expected_out=self._progress.run.remaining_tokens,
-            came_back=self._came_back,
+            came_back=self._refused_before,
             waited_s=round(call.site.loop_time() - call.began, 3),
         )
         if call.may_have_run:
             call.fail(call_mod.Reason.NO_ROOM, 502)
             return
-        call.site.refused.add(self._key, call.site.loop_time())
-        call.refuse(call_mod.Reason.NO_ROOM, full.retry_after_s)
+        call.site.refusals.add(self._refusal_key, call.site.loop_time())
+        call.refuse(call_mod.Reason.NO_ROOM, no_capacity.retry_after_s)
 
 
 async def generate(call: call_mod.Call, engine: model.Engine) -> None:
--- a/rackpost/gateway/handler.py
+++ b/rackpost/gateway/handler.py
@@ -19,19 +19,19 @@
 
 # A gateway receives its routing document within this time after its start, in
 # seconds; earlier requests wait for it.
-_DOCUMENT_S = 2.0
+_DOCUMENT_WAIT_S = 2.0
 # Retry-After where there is still no document, in seconds.
-_NO_DOCUMENT_S = 0.5
+_NO_DOCUMENT_RETRY_AFTER_S = 0.5
 # Bounds the requests whose bodies are in memory meanwhile.
-_MOST_WAITING = 256
+_MAX_WAITING = 256
 # Time for an answer to reach its client, in seconds.
-_WAY_BACK_S = 0.03
+_RETURN_DELAY_S = 0.03
 # Interval between log lines on requests without a known key, in seconds.
-_NO_KEY_S = 1.0
+_NO_KEY_LOG_INTERVAL_S = 1.0
 # Retry-After of requests over quota: spread by up to this share, and at least
 # this many seconds.
-_QUOTA_SPREAD = 0.5
-_QUOTA_SOONEST_S = 0.4
+_QUOTA_RETRY_SPREAD = 0.5
+_MIN_QUOTA_RETRY_AFTER_S = 0.4
 
 
 class Handler:
@@ -40,64 +40,70 @@
     def __init__(self, *, site: site_mod.Site) -> None:
         self._site = site
         self._waiting = 0
-        self._no_keys = logs.Storm(pause_s=_NO_KEY_S)
+        self._no_key_log = logs.Storm(pause_s=_NO_KEY_LOG_INTERVAL_S)
 
     async def handle(
         self, req: message.Request, responder: server.Responder
     ) -> None:
         """Answer one request."""
         began = self._site.loop_time()
-        routes = self._site.routes or await self._first_routes(req, began)
+        routes = self._site.routes or await self._wait_for_routes(req, began)
         if routes is None:
-            self._own(call_mod.Reason.NO_DOCUMENT, req)
-            call_mod.refuse(responder, _NO_DOCUMENT_S)
+            self._count_own_answer(call_mod.Reason.NO_DOCUMENT, req)
+            call_mod.refuse(responder, _NO_DOCUMENT_RETRY_AFTER_S)
             return
         host = message.find(req.headers, b"host") or b""
         route = routes.find(host.decode("latin-1"), req.path.decode("latin-1"))
         if route is None:
-            self._own(call_mod.Reason.NO_ROUTE, req)
+            self._count_own_answer(call_mod.Reason.NO_ROUTE, req)
             responder.whole(404, [], b"")
             return
         caller = callers.Caller(routes=routes, req=req)
         if not caller.may_use(route):
-            self._note_no_key(req, route)
-            call_mod.ask_for_key(responder)
+            self._record_no_key(req, route)
+            call_mod.require_key(responder)
             return
         name = match.choose_service(route, self._site.rng)
         service = routes.services[name]
-        await self._route(req, responder, route, service, caller, began)
+        await self._handle_routed(
+            req, responder, route, service, caller, began
+        )
 
-    async def _first_routes(
+    async def _wait_for_routes(
         self, req: message.Request, now: float
     ) -> match.RouteTable | None:
         """Wait for the routing document after the gateway's start."""
         site = self._site
-        until = min(site.began + _DOCUMENT_S, now + _client_s(req))
-        if until <= now or self._waiting >= _MOST_WAITING:
+        deadline = min(
+            site.began + _DOCUMENT_WAIT_S, now + _client_timeout_s(req)
+        )
+        if deadline <= now or self._waiting >= _MAX_WAITING:
             return None
         self._waiting += 1
         try:
-            async with asyncio.timeout_at(until):
-                await site.routed.wait()
+            async with asyncio.timeout_at(deadline):
+                await site.routes_loaded.wait()
         except TimeoutError:
             return None
         finally:
             self._waiting -= 1
         return site.routes
 
-    def _note_no_key(self, req: message.Request, route: model.Route) -> None:
+    def _record_no_key(self, req: message.Request, route: model.Route) -> None:
         """Count a request without a known key; log only some of them."""
         reason = call_mod.Reason.NO_KEY
         self._site.metrics.count("own_answers", reason, route.name)
-        more = self._no_keys.passes(self._site.loop_time())
+        more = self._no_key_log.passes(self._site.loop_time())
         if more is not None:
-            self._say_own(reason, req, route=route.name, more=more)
+            self._log_own_answer(reason, req, route=route.name, more=more)
 
-    def _own(self, reason: call_mod.Reason, req: message.Request) -> None:
+    def _count_own_answer(
+        self, reason: call_mod.Reason, req: message.Request
+    ) -> None:
         self._site.metrics.count("own_answers", reason)
-        self._say_own(reason, req)
+        self._log_own_answer(reason, req)
 
-    def _say_own(
+    def _log_own_answer(
         self, reason: call_mod.Reason, req: message.Request, **fields: object
     ) -> None:
         ident = message.find(req.headers, headers.REQUEST_ID) or b""
@@ -110,7 +116,7 @@
             **fields,
         )
 
-    async def _route(
+    async def _handle_routed(
         self,
         req: message.Request,
         responder: server.Responder,
@@ -119,11 +125,11 @@
         caller: callers.Caller,
         began: float,
     ) -> None:
-        until = began + min(route.timeout_s, _client_s(req))
-        if not self._site.planned_stop.may_begin(until):
+        deadline = began + min(route.timeout_s, _client_timeout_s(req))
+        if not self._site.planned_stop.may_start(deadline):
             # It might be interrupted at the end of the grace time.
-            self._own(call_mod.Reason.STOPPING, req)
-            call_mod.refuse(responder, call_mod.ELSEWHERE_S)
+            self._count_own_answer(call_mod.Reason.STOPPING, req)
+            call_mod.refuse(responder, call_mod.STOPPING_RETRY_AFTER_S)
             return
         call = call_mod.Call(
             site=self._site,
@@ -133,65 +139,67 @@
             service=service,
             caller=caller,
             began=began,
-            until=until,
+            deadline=deadline,
         )
-        call.budget.record_request(self._site.loop_time())
-        if call.end_if_barred() or self._is_over_quota(call):
+        call.retry_budget.record_request(self._site.loop_time())
+        if call.end_if_blocked() or self._is_over_quota(call):
             return
         try:
             await self._answer_in_time(call)
         finally:
             if call.charge is not None:
-                call.charge.end(self._site.loop_time())
+                call.charge.release(self._site.loop_time())
 
     def _is_over_quota(self, call: call_mod.Call) -> bool:
         """Refuse a request over its organisation's quota, else charge it."""
-        item = call.caller.organisation
-        if item is None or item.quota is None:
+        organisation = call.caller.organisation
+        if organisation is None or organisation.quota is None:
             return False
         site = self._site
         now = site.loop_time()
-        wanted = charge.units(item.quota, call.req)
-        refused = site.quotas.check(item, wanted, now)
-        if refused is not None:
-            site.quota_use.record_refused(item.name, now)
-            self._refuse_over(call, wanted, refused)
+        units = charge.units(organisation.quota, call.req)
+        over_quota = site.quotas.check(organisation, units, now)
+        if over_quota is not None:
+            site.quota_use.record_refused(organisation.name, now)
+            self._refuse_over_quota(call, units, over_quota)
             return True
-        site.quota_use.record_admitted(item.name, wanted, now)
+        site.quota_use.record_admitted(organisation.name, units, now)
         call.charge = charge.Charge(
-            quotas=site.quotas, organisation=item, units=wanted, now=now
+            quotas=site.quotas, organisation=organisation, units=units, now=now
         )
         return False
 
-    def _refuse_over(
-        self, call: call_mod.Call, wanted: int, refused: quota.OverQuota
+    def _refuse_over_quota(
+        self, call: call_mod.Call, units: int, over_quota: quota.OverQuota
     ) -> None:
         site = self._site
         call.log(
             "Over quota.",
-            units=wanted,
-            used=round(refused.used),
-            bound=round(refused.bound),
-            room_s=round(refused.retry_after_s, 2),
+            units=units,
+            used=round(over_quota.used),
+            bound=round(over_quota.bound),
+            room_s=round(over_quota.retry_after_s, 2),
             gateways=site.gateway_count,
             heard=site.quotas.reachable_gateways(site.loop_time()),
             figures_s=round(site.loads.oldest_age_s(site.loop_time()), 2),
         )
-        spread = 1.0 + _QUOTA_SPREAD * site.rng.random()
-        after_s = max(_QUOTA_SOONEST_S, refused.retry_after_s) * spread
+        factor = 1.0 + _QUOTA_RETRY_SPREAD * site.rng.random()
+        after_s = (
+            max(_MIN_QUOTA_RETRY_AFTER_S, over_quota.retry_after_s) * factor
+        )
         call.refuse(call_mod.Reason.OVER_QUOTA, after_s, status=429)
 
     async def _answer_in_time(self, call: call_mod.Call) -> None:
         try:
-            async with asyncio.timeout_at(call.until):
+            async with asyncio.timeout_at(call.deadline):
                 await self._answer(call)
         except TimeoutError:
-            self._time_up(call)
+            self._on_timeout(call)
         except asyncio.CancelledError:
-            self._note_left(call)
+            self._record_left(call)
             raise
 
-    def _note_left(self, call: call_mod.Call) -> None:
+    def _record_left(self, call: call_mod.Call) -> None:
         self._site.metrics.count("left", call_mod.Reason.TIME_UP)
         if call.sampled:
             after_s = self._site.loop_time() - call.began
@@ -204,17 +212,17 @@
         else:
             await generate.generate(call, engine)
 
-    def _time_up(self, call: call_mod.Call) -> None:
+    def _on_timeout(self, call: call_mod.Call) -> None:
         if call.may_have_run:
             call.fail(call_mod.Reason.TIME_UP, 504)
         else:
-            call.refuse(call_mod.Reason.TIME_UP, forward.come_back_s(call))
+            call.refuse(call_mod.Reason.TIME_UP, forward.retry_after_s(call))
 
 
-def _client_s(req: message.Request) -> float:
+def _client_timeout_s(req: message.Request) -> float:
     """Return how long the client waits for its answer, in seconds."""
-    told = headers.whole(message.find(req.headers, headers.DEADLINE_MS))
-    if told is None:
+    deadline_ms = headers.whole(message.find(req.headers, headers.DEADLINE_MS))
+    if deadline_ms is None:
         return math.inf
     # Leave time for the answer to arrive.
-    return max(0.0, told / 1000.0 - _WAY_BACK_S)
+    return max(0.0, deadline_ms / 1000.0 - _RETURN_DELAY_S)
--- a/rackpost/gateway/load_exchange.py
+++ b/rackpost/gateway/load_exchange.py
@@ -23,18 +23,18 @@
 # gateway, which bounds the datagrams that a gateway receives.  The delay has
 # to stay short, as until the report arrives other gateways may reserve the
 # same capacity.
-_GATHER_S = 0.006
-_GATHER_EACH_S = 0.0001
+_BATCHING_S = 0.006
+_BATCHING_PER_GATEWAY_S = 0.0001
 # Longest time between two reports, in seconds.
-_AGAIN_S = 1.0
-_LIFE_BITS = 48
+_MAX_INTERVAL_S = 1.0
+_INCARNATION_BITS = 48
 
 _DECODER = codec.Decoder(kinds=messages.BetweenGateways)
 
 
 def batching_delay_s(gateways: int) -> float:
     """Return how long changes are batched before a report, in seconds."""
-    return _GATHER_S + _GATHER_EACH_S * gateways
+    return _BATCHING_S + _BATCHING_PER_GATEWAY_S * gateways
 
 
 class LoadExchange(asyncio.DatagramProtocol):
@@ -43,8 +43,8 @@
     def __init__(self, *, site: site_mod.Site) -> None:
         self._site = site
         self._transport: asyncio.DatagramTransport | None = None
-        self._life = random.getrandbits(_LIFE_BITS)
-        self._number = 0
+        self._incarnation = random.getrandbits(_INCARNATION_BITS)
+        self._sequence = 0
         host = site.host
         port = host.internal_ports[0] + links.LOADS_PORT
         self._address = f"{host.ip}:{port}"
@@ -55,15 +55,15 @@
             msg = _DECODER.decode(data)
         except exceptions.CodecError as exc:
             logs.say(
-                logs.Part.GATEWAY, "Load figures unreadable.", why=str(exc)
+                logs.Part.GATEWAY, "Load report is unreadable.", why=str(exc)
             )
             return
         if isinstance(msg, messages.GatewayLoad):
-            self._take(msg, self._site.loop_time())
+            self._receive_load(msg, self._site.loop_time())
         else:
-            self._site.grants.receive(msg, address.Address(*addr[:2]))
+            self._site.rate_grants.receive(msg, address.Address(*addr[:2]))
 
-    def _take(self, msg: messages.GatewayLoad, now: float) -> None:
+    def _receive_load(self, msg: messages.GatewayLoad, now: float) -> None:
         site = self._site
         site.loads.receive(
             msg.vm,
@@ -76,7 +76,7 @@
         site.add_gateway(
             messages.GatewayAddress(vm=msg.vm, load_address=msg.load_address)
         )
-        site.refused.receive(msg.refused_keys, now)
+        site.refusals.receive(msg.refused_keys, now)
         if site.quotas.receive(msg.vm, msg.incarnation, msg.quotas, now):
             # The sender lacks recent quota use of this gateway.
             site.loads_changed.set()
@@ -86,15 +86,15 @@
             site.health.record_reported_failure(endpoint, now)
         for endpoint, left_s in msg.backoffs.items():
             site.health.record_reported_backoff(endpoint, left_s, now)
-        for told in msg.named_rates:
-            site.grants.receive_rate(told, now)
-        site.room_changed.set()
+        for update in msg.named_rates:
+            site.rate_grants.receive_rate(update, now)
+        site.capacity_changed.set()
 
-    async def _tell(self) -> None:
+    async def _publish(self) -> None:
         changed = self._site.loads_changed
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_AGAIN_S):
+                async with asyncio.timeout(_MAX_INTERVAL_S):
                     await changed.wait()
                 await asyncio.sleep(batching_delay_s(self._site.gateway_count))
             changed.clear()
@@ -103,13 +103,13 @@
     def _send(self) -> None:
         if not self._site.policy.share:
             return
-        self._number += 1
-        data = codec.encode(self._figures(self._site.loop_time()))
-        for item in self._tellable():
+        self._sequence += 1
+        data = codec.encode(self._report(self._site.loop_time()))
+        for item in self._recipients():
             if self._transport is not None:
                 self._transport.sendto(data, address.split(item.load_address))
 
-    def _tellable(self) -> list[messages.GatewayAddress]:
+    def _recipients(self) -> list[messages.GatewayAddress]:
         """Return the other gateways that use the same endpoints."""
         me = self._site.host.vm
         group = self._site.group
@@ -119,18 +119,18 @@
             if item.vm != me and group.contains(item.vm)
         ]
 
-    def _figures(self, now: float) -> messages.GatewayLoad:
+    def _report(self, now: float) -> messages.GatewayLoad:
         site = self._site
         return messages.GatewayLoad(
             vm=site.host.vm,
             load_address=self._address,
-            incarnation=self._life,
-            sequence=self._number,
+            incarnation=self._incarnation,
+            sequence=self._sequence,
             loads=site.loads.own,
             failed=site.health.failed_endpoints(now),
             rejecting=site.health.full_endpoints(now),
-            waiting=site.room.most_urgent_waiters(now),
-            refused_keys=site.refused.recent(now),
+            waiting=site.admission_queue.most_urgent_waiters(now),
+            refused_keys=site.refusals.recent(now),
             quotas=site.quotas.next_report(now),
             backoffs=site.eligible.remaining_backoffs(now),
             named_rates=site.eligible.rates.next_updates(now),
@@ -144,8 +144,8 @@
             lambda: self, local_addr=address.split(self._address)
         )
         self._transport = transport
-        self._site.grants.send = transport.sendto
-        task = asyncio.create_task(self._tell())
+        self._site.rate_grants.send = transport.sendto
+        task = asyncio.create_task(self._publish())
         try:
             yield
         finally:
--- a/rackpost/gateway/planned_stop.py
+++ b/rackpost/gateway/planned_stop.py
@@ -12,21 +12,21 @@
     def __init__(self) -> None:
         # The latest end of the stop; infinite while no stop has begun.
         self.ends_at = math.inf
-        self._is_closed = False
+        self._is_restricted = False
 
     def begin(self, ends_at: float) -> None:
         """Begin a stop that ends at `ends_at` at the latest."""
         self.ends_at = ends_at
 
     @property
-    def is_under_way(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether a stop has begun."""
         return self.ends_at < math.inf
 
-    def close(self) -> None:
+    def restrict(self) -> None:
         """Accept no more requests that the end might interrupt."""
-        self._is_closed = True
+        self._is_restricted = True
 
-    def may_begin(self, until: float) -> bool:
-        """Whether a request with the deadline `until` is accepted."""
-        return not self._is_closed or until <= self.ends_at
+    def may_start(self, deadline: float) -> bool:
+        """Whether a request with this deadline is accepted."""
+        return not self._is_restricted or deadline <= self.ends_at
--- a/rackpost/gateway/prefill.py
+++ b/rackpost/gateway/prefill.py
@@ -16,95 +16,97 @@
 from rackpost.routing import model
 from rackpost import types
 
-_MAX_RESULT = 64 << 10
+_MAX_RESULT_BYTES = 64 << 10
 # Prefill endpoints tried before the decode endpoint prefills itself.
-_TRIES = 2
+_MAX_ATTEMPTS = 2
 # A first prefill costs no retry unless the endpoint refuses it, which shows
 # within milliseconds.  While no prefill is refused, this many more may be in
 # flight than the gateway's share of the retry budget allows: in a large fleet
 # the share is small, and prefills in place stall running streams.
-_MOST_UNSETTLED = 3
+_MAX_UNCONFIRMED = 3
 # Share of a result's lifetime in which a decode endpoint can fetch it.
-_FRESH_SHARE = 0.7
+_FETCHABLE_SHARE = 0.7
 
 
-class Prefilled:
+class PrefillState:
     """The result of a request's prefill, if there is one."""
 
     def __init__(self, *, call: call_mod.Call) -> None:
         self._call = call
         # Prefill requests that an endpoint ran or may have run.
         self.arrivals = 0
-        self._reader: endpoints.Endpoint | None = None
-        self._read_at = 0.0
+        self._endpoint: endpoints.Endpoint | None = None
+        self._prefilled_at = 0.0
         self._result: wire.PrefillResult | None = None
 
-    def put(
-        self, reader: endpoints.Endpoint, result: wire.PrefillResult
+    def store(
+        self, endpoint: endpoints.Endpoint, result: wire.PrefillResult
     ) -> None:
         """Store the result of a prefill endpoint."""
-        self._reader = reader
-        self._read_at = self._call.site.loop_time()
+        self._endpoint = endpoint
+        self._prefilled_at = self._call.site.loop_time()
         self._result = result
 
     def is_fresh(self, engine: model.Engine) -> bool:
         """Whether the KV cache is there, and will be for a while."""
-        if self._reader is None or self._result is None:
+        if self._endpoint is None or self._result is None:
             return False
-        age = self._call.site.loop_time() - self._read_at
-        fresh = age < _FRESH_SHARE * engine.handle_ttl_s
+        age = self._call.site.loop_time() - self._prefilled_at
+        fresh = age < _FETCHABLE_SHARE * engine.handle_ttl_s
         # A restarted prefill endpoint has lost the KV cache.
-        return fresh and not self._call.site.table.has_restarted(self._reader)
+        return fresh and not self._call.site.table.has_restarted(
+            self._endpoint
+        )
 
     def headers(self) -> list[message.Header]:
         """Return the header that tells a decode endpoint where to fetch it."""
-        if self._reader is None or self._result is None:
+        if self._endpoint is None or self._result is None:
             return []
-        place = wire.source(self._reader.address, self._result)
-        return [(headers.KV_SOURCE, place)]
+        source = wire.source(self._endpoint.address, self._result)
+        return [(headers.KV_SOURCE, source)]
 
-    def taken(self) -> None:
+    def record_fetched(self) -> None:
         """Record that a decode endpoint has fetched the KV cache."""
         self._result = None
 
     def release(self) -> None:
         """Free a KV cache that no decode endpoint has fetched."""
-        if self._reader is not None and self._result is not None:
+        if self._endpoint is not None and self._result is not None:
             self._call.site.spawn(
-                _delete(self._call, self._reader, self._result)
+                _delete(self._call, self._endpoint, self._result)
             )
             self._result = None
 
 
 async def _delete(
     call: call_mod.Call,
-    reader: endpoints.Endpoint,
+    endpoint: endpoints.Endpoint,
     result: wire.PrefillResult,
 ) -> None:
-    line = message.request_head(
+    head = message.request_head(
         b"DELETE",
         wire.release_path(result),
-        [(b"host", reader.address.encode())],
+        [(b"host", endpoint.address.encode())],
     )
-    if call.site.grants.requires_grant(reader):
+    if call.site.rate_grants.requires_grant(endpoint):
         # The named rate is left to prompts.
         call.log("KV cache not released.", why="names a rate")
         return
     try:
-        async with attempt.connected(call, reader) as conn:
+        async with attempt.connected(call, endpoint) as conn:
             await endpoint_calls.request(
-                call.site, reader, conn, grant=None, head=line
+                call.site, endpoint, conn, grant=None, head=head
             )
-            await conn.read_whole(_MAX_RESULT)
+            await conn.read_whole(_MAX_RESULT_BYTES)
     except exceptions.ExchangeError as exc:
         # It expires soon.
         call.log("KV cache not released.", why=str(exc))
 
 
-class _Ended(enum.Enum):
+class _PrefillEnd(enum.Enum):
     """How a prefill request ended."""
 
-    READ = "read"
+    PREFILLED = "read"
     REJECTED = "rejected"
     BROKEN = "broken"
     NOT_SENT = "not-sent"
@@ -112,95 +114,97 @@
 
 async def prefill(
     call: call_mod.Call,
-    reader: endpoints.Endpoint | None,
+    preferred: endpoints.Endpoint | None,
     prompt: int,
-    read: Prefilled,
+    state: PrefillState,
 ) -> None:
     """Prefill the prompt; without a result the decode endpoint does it.
 
-    `reader` is tried first; its capacity is reserved already.
+    `preferred` is tried first; its capacity is reserved already.
     """
     site = call.site
     tried: list[types.EndpointId] = []
-    while len(tried) < _TRIES:
+    while len(tried) < _MAX_ATTEMPTS:
         now = site.loop_time()
-        if not _may_read(call, read, now):
+        if not _may_prefill(call, state, now):
             call.log("Read in place.", reason="retry budget")
             return
-        if call.held_s() > 0.0:
-            call.log("Not read.", reason="endpoints ended under it")
+        if call.quarantine_left_s() > 0.0:
+            call.log("Not prefilled.", reason="quarantined")
             return
-        endpoint = reader
+        endpoint = preferred
         if tried or endpoint is None:
             endpoint = site.chooser.choose_prefill(
                 call.service.name, prompt, exclude=tried, now=now
             )
         if endpoint is None:
             return
-        held = prompt if endpoint is reader else 0
+        counted = prompt if endpoint is preferred else 0
         tried.append(endpoint.id)
         # Counts as a retry until it is known not to be one: all of many
         # concurrent requests may be refused, and those count.
-        call.budget.record_retry(now)
-        ended = await _prefill_at(call, endpoint, prompt, held, read)
-        if _is_free(ended, read):
-            call.budget.refund(now)
-        if ended is _Ended.READ:
-            read.arrivals += 1
+        call.retry_budget.record_retry(now)
+        ended = await _prefill_at(call, endpoint, prompt, counted, state)
+        if _costs_no_retry(ended, state):
+            call.retry_budget.refund(now)
+        if ended is _PrefillEnd.PREFILLED:
+            state.arrivals += 1
             return
-        if ended is _Ended.BROKEN:
-            read.arrivals += 1
+        if ended is _PrefillEnd.BROKEN:
+            state.arrivals += 1
 
 
-def _may_read(call: call_mod.Call, read: Prefilled, now: float) -> bool:
+def _may_prefill(call: call_mod.Call, state: PrefillState, now: float) -> bool:
     """Whether the retry budget allows one more prefill elsewhere."""
     site = call.site
-    if call.budget.allows(now, site.gateway_count):
+    if call.retry_budget.allows(now, site.gateway_count):
         return True
-    if read.arrivals or call.sent:
+    if state.arrivals or call.send_count:
         return False
-    left = call.budget.remaining(now, site.gateway_count)
+    left = call.retry_budget.remaining(now, site.gateway_count)
     since = now - site.host.bounds.retry_window_s
-    return left > -_MOST_UNSETTLED and site.chooser.accepts_all_prompts(
+    return left > -_MAX_UNCONFIRMED and site.chooser.accepts_all_prompts(
         call.service.name, since, now
     )
 
 
-def _is_free(ended: _Ended, read: Prefilled) -> bool:
-    """Whether the request was no retry: the first one that was run."""
-    if ended is _Ended.READ:
-        return read.arrivals == 0
-    return ended is _Ended.NOT_SENT
+def _costs_no_retry(ended: _PrefillEnd, state: PrefillState) -> bool:
+    """Whether the request costs no retry: the first run, or not sent."""
+    if ended is _PrefillEnd.PREFILLED:
+        return state.arrivals == 0
+    return ended is _PrefillEnd.NOT_SENT
 
 
 async def _prefill_at(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     prompt: int,
-    held: int,
-    read: Prefilled,
-) -> _Ended:
-    """Prefill at one endpoint; `held` tokens are counted there already."""
+    counted: int,
+    state: PrefillState,
+) -> _PrefillEnd:
+    """Prefill at one endpoint; `counted` tokens are in its load already."""
     site = call.site
     began = site.loop_time()
-    ahead = site.loads.total(endpoint.id).prompt_tokens - held
-    patience = site.pace.prefill_timeout_s(ahead + prompt)
+    ahead = site.loads.total(endpoint.id).prompt_tokens - counted
+    timeout_s = site.token_timing.prefill_timeout_s(ahead + prompt)
     try:
-        with _counted(call, endpoint, prompt - held):
-            async with asyncio.timeout(patience):
-                result = await _ask_prefill(call, endpoint)
+        with _counted_load(call, endpoint, prompt - counted):
+            async with asyncio.timeout(timeout_s):
+                result = await _request_prefill(call, endpoint)
     except (
         exceptions.ExchangeError,
         exceptions.CodecError,
         TimeoutError,
     ) as exc:
-        return _broke(call, endpoint, exc, patience=patience, began=began)
+        return _record_broken(
+            call, endpoint, exc, timeout_s=timeout_s, began=began
+        )
     if result is None:
-        return _Ended.REJECTED
+        return _PrefillEnd.REJECTED
     took = site.loop_time() - began
-    site.pace.record_prefill(ahead + prompt, took)
+    site.token_timing.record_prefill(ahead + prompt, took)
     site.health.record_answer(endpoint.id, took)
-    read.put(endpoint, result)
+    state.store(endpoint, result)
     if call.sampled:
         call.log(
             "Prefilled.",
@@ -209,10 +213,10 @@
             ahead=ahead,
             took_s=round(took, 4),
         )
-    return _Ended.READ
+    return _PrefillEnd.PREFILLED
 
 
-def _counted(
+def _counted_load(
     call: call_mod.Call, endpoint: endpoints.Endpoint, prompt: int
 ) -> contextlib.AbstractContextManager[None]:
     """Count a prompt in an endpoint's load, unless it is counted."""
@@ -221,14 +225,14 @@
     return call.site.loads.request_added(endpoint.id, prompt=prompt)
 
 
-def _broke(
+def _record_broken(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
     exc: Exception,
     *,
-    patience: float,
+    timeout_s: float,
     began: float,
-) -> _Ended:
+) -> _PrefillEnd:
     if not isinstance(exc, (exceptions.NoPlace, exceptions.Barred)):
         call.site.health.record_failure(endpoint.id, call.site.loop_time())
     call.log(
@@ -237,24 +241,24 @@
         born=endpoint.born,
         why=str(exc) or "slow",
         fingerprint=call.fingerprint.hex(),
-        patience_s=round(patience, 3),
+        patience_s=round(timeout_s, 3),
     )
     if isinstance(exc, exceptions.ExchangeError):
         if not exc.sent:
-            return _Ended.NOT_SENT
-        call.note_broken(endpoint, began=began)
-    return _Ended.BROKEN
+            return _PrefillEnd.NOT_SENT
+        call.record_broken(endpoint, began=began)
+    return _PrefillEnd.BROKEN
 
 
-async def _ask_prefill(
+async def _request_prefill(
     call: call_mod.Call, endpoint: endpoints.Endpoint
 ) -> wire.PrefillResult | None:
-    extra = [(headers.STAGE, headers.PREFILL)]
+    extra_headers = [(headers.STAGE, headers.PREFILL)]
     async with attempt.connected(call, endpoint) as conn:
-        reply = await attempt.send(call, endpoint, conn, extra)
-        body = await conn.read_whole(_MAX_RESULT)
+        reply = await attempt.send(call, endpoint, conn, extra_headers)
+        body = await conn.read_whole(_MAX_RESULT_BYTES)
     if answer_check.is_not_run(reply.head) or reply.head.status != 200:
-        attempt.note_replaced(call, endpoint, reply.head)
+        attempt.record_replaced(call, endpoint, reply.head)
         if reply.head.status == 503:
             call.site.health.record_rejection(
                 endpoint.id, call.site.loop_time()
--- a/rackpost/gateway/process.py
+++ b/rackpost/gateway/process.py
@@ -21,13 +21,13 @@
 
 # The load balancer probes each second and removes a gateway after two
 # failures; until then it sends new connections.
-_NOTICED_S = 3.0
+_BALANCER_DELAY_S = 3.0
 # Part of the grace time reserved for closing links, in seconds.
-_END_S = 1.0
-_STEP_S = 0.05
+_CLOSING_S = 1.0
+_POLL_S = 0.05
 # A started gateway waits this long for endpoints before it reports ready
 # without any, in seconds.
-_ENDPOINTS_S = 5.0
+_ENDPOINTS_WAIT_S = 5.0
 _SWEEP_S = 1.0
 
 
@@ -44,7 +44,8 @@
         self.site = site_mod.Site(host=host, policy=policy)
         self._links = control_links.ControlLinks(site=self.site)
         self._server = server.Server(
-            handler=handler_mod.Handler(site=self.site).handle, failed=_failed
+            handler=handler_mod.Handler(site=self.site).handle,
+            failed=_log_failure,
         )
         self.stopping = False
         self._ready = False
@@ -52,7 +53,7 @@
 
     def is_ready(self) -> bool:
         """Whether the load balancer may send new connections."""
-        ready = self._knows_enough() and not self.stopping
+        ready = self._has_routes_and_endpoints() and not self.stopping
         if ready != self._ready:
             self._ready = ready
             logs.say(
@@ -63,12 +64,12 @@
             )
         return ready
 
-    def _knows_enough(self) -> bool:
+    def _has_routes_and_endpoints(self) -> bool:
         """Whether there are routes, and endpoints if the site has any."""
         if self.site.routes is None:
             return False
         waited = self.site.loop_time() - self._began
-        return bool(self.site.table.alive) or waited > _ENDPOINTS_S
+        return bool(self.site.table.alive) or waited > _ENDPOINTS_WAIT_S
 
     def reload(self, host: settings.HostSettings) -> None:
         """Apply new settings: other seeds."""
@@ -81,24 +82,24 @@
         while True:
             await asyncio.sleep(_SWEEP_S)
             self.site.pool.sweep()
-            self._links.tell_demands()
+            self._links.publish_demands()
             self.site.loads.expire(self.site.loop_time())
             self.site.quotas.forget(self.site.loop_time())
-            self.site.drop_gateways()
-            self.site.grants.sweep()
-            self.site.suspects.recheck(self.site.loop_time())
+            self.site.drop_silent_gateways()
+            self.site.rate_grants.sweep()
+            self.site.crash_tracker.recheck(self.site.loop_time())
             if self.site.routes is not None:
                 self._server.limits = self.site.routes.limits
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[None]:
         """Serve until the block ends."""
-        share = load_exchange.LoadExchange(site=self.site)
+        exchange = load_exchange.LoadExchange(site=self.site)
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self._links.close)
             stack.callback(self.site.pool.close)
             stack.push_async_callback(self.site.tasks.close)
-            await stack.enter_async_context(share.running())
+            await stack.enter_async_context(exchange.running())
             await stack.enter_async_context(self._serving_ready())
             await stack.enter_async_context(self._serving_metrics())
             at = address.split(self._host.listen.clients)
@@ -106,7 +107,7 @@
                 self._server.serving(at.host, at.port)
             )
             self.site.tasks.keep(self._sweep)
-            self.site.tasks.keep(self.site.room.run)
+            self.site.tasks.keep(self.site.admission_queue.run)
             yield
 
     def _serving_ready(self) -> contextlib.AbstractAsyncContextManager:
@@ -115,7 +116,7 @@
             {paths.READY: self._ready_page},
             host=at.host,
             port=at.port,
-            failed=_failed,
+            failed=_log_failure,
         )
 
     def _serving_metrics(self) -> contextlib.AbstractAsyncContextManager:
@@ -123,7 +124,7 @@
             {b"/metrics": self._metrics_page},
             host=self._host.ip,
             port=self._host.internal_ports[0] + links.METRICS_PORT,
-            failed=_failed,
+            failed=_log_failure,
         )
 
     def _ready_page(self) -> tuple[int, str]:
@@ -135,12 +136,12 @@
         return 200, self.site.metrics.text()
 
     async def stop(self) -> None:
-        """Drain: finish running requests and refuse new ones."""
+        """Drain the gateway within the grace time."""
         began = self.site.loop_time()
         self.stopping = True
         self._server.stopping = True
         self.is_ready()
-        await self._end_what_runs(began)
+        await self._drain(began)
         logs.say(
             logs.Part.GATEWAY,
             "Stopped.",
@@ -148,24 +149,24 @@
             took_s=round(self.site.loop_time() - began, 2),
         )
 
-    async def _end_what_runs(self, began: float) -> None:
+    async def _drain(self, began: float) -> None:
         """Wait until no request runs, up to the end of the grace time."""
         stop = self.site.planned_stop
-        stop.begin(began + self._host.bounds.grace_s - _END_S)
+        stop.begin(began + self._host.bounds.grace_s - _CLOSING_S)
         while (now := self.site.loop_time()) < stop.ends_at:
-            if now - began >= _NOTICED_S:
-                stop.close()
+            if now - began >= _BALANCER_DELAY_S:
+                stop.restrict()
                 self._server.close_idle()
                 if not self._server.busy:
                     return
-            await asyncio.sleep(_STEP_S)
+            await asyncio.sleep(_POLL_S)
 
 
-def _failed(req: message.Request, exc: Exception) -> None:
+def _log_failure(req: message.Request, exc: Exception) -> None:
     ident = message.find(req.headers, headers.REQUEST_ID) or b""
     logs.say(
         logs.Part.GATEWAY,
-        "Request met a fault in the gateway.",
+        "Request failed in the gateway.",
         request=ident.decode("latin-1"),
         why=repr(exc),
     )
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -30,18 +30,18 @@
 
 # An owner answers within this, in seconds: some round trips between distant
 # data centres.  Afterwards other endpoints are used.
-_ANSWER_S = 0.12
+_ANSWER_TIMEOUT_S = 0.12
 # A gateway without a load report for this long owns no rate, in seconds;
 # reports come each second, and one may be lost.
-_SILENT_S = 2.5
+_OWNER_TIMEOUT_S = 2.5
 # Lifetime of a grant, in seconds: enough for a prefill.  A longer one would
 # let sends slip into a later window of the rate.
-_FRESH_S = 1.0
+_GRANT_LIFETIME_S = 1.0
 # Unused grant accounts are dropped after this, in seconds.
-_KEEP_S = 30.0
+_LEDGER_KEEP_S = 30.0
 # Least time between two log lines on one endpoint, in seconds.
-_LINE_S = 1.0
-_NUMBER_BITS = 32
+_LOG_INTERVAL_S = 1.0
+_REQUEST_NUMBER_BITS = 32
 
 Send = Callable[[bytes, address.Address], None]
 Message = Union[
@@ -49,7 +49,7 @@
 ]
 
 
-class _Asked(enum.Enum):
+class _GrantOutcome(enum.Enum):
     """How a request for a grant ended, for the metrics."""
 
     GRANTED = "granted"
@@ -72,10 +72,12 @@
         self._at = at
         self.is_spent = False
 
-    def is_for(self, endpoint: endpoints.Endpoint, now: float) -> bool:
+    def is_valid_for(self, endpoint: endpoints.Endpoint, now: float) -> bool:
         """Whether the grant is valid for a request to this endpoint now."""
         same = self.endpoint.incarnation == endpoint.incarnation
-        return same and not self.is_spent and now < self._at + _FRESH_S
+        return (
+            same and not self.is_spent and now < self._at + _GRANT_LIFETIME_S
+        )
 
 
 class RateGrants:
@@ -97,15 +99,17 @@
         self._loads = loads
         self._group = group
         self._metrics = metrics
-        self._book = rate_grants.GrantLedger(rng=rng)
+        self._ledger = rate_grants.GrantLedger(rng=rng)
         self._gateways: dict[types.VmId, messages.GatewayAddress] = {}
         # A random start, so that answers to an earlier incarnation of this
         # gateway match no request.
-        self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
-        self._asked: dict[int, asyncio.Future[messages.GrantAnswer]] = {}
-        self._pauses = logs.Pauses(pause_s=_LINE_S)
+        self._request_numbers = itertools.count(
+            rng.getrandbits(_REQUEST_NUMBER_BITS)
+        )
+        self._pending: dict[int, asyncio.Future[messages.GrantAnswer]] = {}
+        self._log_pauses = logs.Pauses(pause_s=_LOG_INTERVAL_S)
         # Set by LoadExchange, which owns the socket.
-        self.send: Send = _nowhere
+        self.send: Send = _send_nothing
 
     def set_gateways(self, found: Iterable[messages.GatewayAddress]) -> None:
         """Set the gateways that may own a rate."""
@@ -114,21 +118,21 @@
     def sweep(self) -> None:
         """Drop expired state."""
         self._eligible.forget_rates()
-        self._book.forget(self._loop.time() - _KEEP_S)
+        self._ledger.forget(self._loop.time() - _LEDGER_KEEP_S)
 
     def receive_rate(
-        self, told: endpoint_rates.RateUpdate, now: float
+        self, update: endpoint_rates.RateUpdate, now: float
     ) -> None:
         """Record an endpoint's rate that another gateway reports."""
-        if not self._eligible.rates.receive(told, now):
+        if not self._eligible.rates.receive(update, now):
             return
         logs.say(
             logs.Part.GATEWAY,
             "Told of an endpoint's rate.",
-            endpoint=told.endpoint,
-            born=told.born,
-            rate_per_s=told.per_s,
-            age_s=told.age_s,
+            endpoint=update.endpoint,
+            born=update.born,
+            rate_per_s=update.per_s,
+            age_s=update.age_s,
         )
 
     def requires_grant(self, endpoint: endpoints.Endpoint) -> bool:
@@ -143,7 +147,9 @@
         """
         if not self.requires_grant(endpoint):
             return
-        if grant is None or not grant.is_for(endpoint, self._loop.time()):
+        if grant is None or not grant.is_valid_for(
+            endpoint, self._loop.time()
+        ):
             raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
         grant.is_spent = True
 
@@ -158,79 +164,87 @@
         """
         grant = None
         if self.requires_grant(endpoint):
-            wish = rate_grants.GrantApplicant(
+            applicant = rate_grants.GrantApplicant(
                 vm=self._vm, priority=priority, is_waiting=waits
             )
-            grant = await self._ask(endpoint, wish)
+            grant = await self._request(endpoint, applicant)
         try:
             yield grant
         finally:
             if grant is not None and not grant.is_spent:
-                self._give_back(grant)
+                self._release(grant)
 
-    async def _ask(
-        self, endpoint: endpoints.Endpoint, wish: rate_grants.GrantApplicant
+    async def _request(
+        self,
+        endpoint: endpoints.Endpoint,
+        applicant: rate_grants.GrantApplicant,
     ) -> Grant:
         now = self._loop.time()
         owner = self._owner(endpoint.id, now)
         if owner == self._vm:
-            verdict = self._decide(endpoint.incarnation, wish, now)
+            decision = self._decide(endpoint.incarnation, applicant, now)
         else:
-            verdict = await self._ask_owner(owner, endpoint, wish)
+            decision = await self._request_from_owner(
+                owner, endpoint, applicant
+            )
         now = self._loop.time()
-        self._eligible.gate.record_decision(endpoint, verdict, now)
-        if verdict.granted:
-            self._count(_Asked.GRANTED, endpoint)
+        self._eligible.gate.record_decision(endpoint, decision, now)
+        if decision.granted:
+            self._count(_GrantOutcome.GRANTED, endpoint)
             return Grant(endpoint=endpoint, owner=owner, at=now)
-        self._count(_Asked.USED_UP, endpoint)
-        self._say(endpoint, owner, "Rate is used up.", verdict.wait_s)
+        self._count(_GrantOutcome.USED_UP, endpoint)
+        self._log(endpoint, owner, "Rate is used up.", decision.wait_s)
         raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
 
-    def _count(self, what: _Asked, endpoint: endpoints.Endpoint) -> None:
-        self._metrics.count("rate_grants", what, endpoint.service)
+    def _count(
+        self, outcome: _GrantOutcome, endpoint: endpoints.Endpoint
+    ) -> None:
+        self._metrics.count("rate_grants", outcome, endpoint.service)
 
-    def _say(
+    def _log(
         self,
         endpoint: endpoints.Endpoint,
         owner: types.VmId,
-        sentence: str,
+        text: str,
         wait_s: float | None = None,
     ) -> None:
-        if not self._pauses.is_due(endpoint.id, self._loop.time()):
+        if not self._log_pauses.is_due(endpoint.id, self._loop.time()):
             return
         logs.say(
             logs.Part.GATEWAY,
-            sentence,
+            text,
             endpoint=endpoint.id,
             owner=owner,
             rate_per_s=self._eligible.rates.per_s(endpoint),
             wait_s=None if wait_s is None else round(wait_s, 3),
         )
 
-    async def _ask_owner(
+    async def _request_from_owner(
         self,
         owner: types.VmId,
         endpoint: endpoints.Endpoint,
-        wish: rate_grants.GrantApplicant,
+        applicant: rate_grants.GrantApplicant,
     ) -> rate_grants.GrantDecision:
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         rate = self._rate(endpoint.incarnation)
-        msg = messages.GrantRequest(number=number, applicant=wish, rate=rate)
+        msg = messages.GrantRequest(
+            number=number, applicant=applicant, rate=rate
+        )
         answer = self._loop.create_future()
-        self._asked[number] = answer
+        self._pending[number] = answer
         try:
             self._send_to(owner, msg)
-            async with asyncio.timeout(_ANSWER_S):
+            async with asyncio.timeout(_ANSWER_TIMEOUT_S):
                 found = await answer
         except TimeoutError as exc:
             self._eligible.gate.record_no_answer(endpoint, self._loop.time())
-            self._count(_Asked.UNANSWERED, endpoint)
-            self._say(endpoint, owner, "Owner of a rate does not answer.")
+            self._count(_GrantOutcome.UNANSWERED, endpoint)
+            self._log(endpoint, owner, "Owner of a rate does not answer.")
             raise exceptions.Barred(
                 eligibility.IneligibleReason.RATE.value
             ) from exc
         finally:
-            del self._asked[number]
+            del self._pending[number]
         self.receive_rate(found.rate, self._loop.time())
         return found.decision
 
@@ -246,34 +260,34 @@
     def receive(self, msg: Message, sender: address.Address) -> None:
         """Handle a message of another gateway."""
         if isinstance(msg, messages.GrantRequest):
-            self._answer(msg, sender)
+            self._answer_request(msg, sender)
         elif isinstance(msg, messages.GrantAnswer):
-            self._take_answer(msg)
+            self._receive_answer(msg)
         else:
             key = endpoints.Incarnation(msg.endpoint, msg.born)
-            self._book.release(key)
+            self._ledger.release(key)
 
-    def _answer(
+    def _answer_request(
         self, msg: messages.GrantRequest, sender: address.Address
     ) -> None:
         now = self._loop.time()
         self.receive_rate(msg.rate, now)
         key = msg.rate.incarnation
-        verdict = self._decide(key, msg.applicant, now)
+        decision = self._decide(key, msg.applicant, now)
         answer = messages.GrantAnswer(
-            number=msg.number, decision=verdict, rate=self._rate(key)
+            number=msg.number, decision=decision, rate=self._rate(key)
         )
         self.send(codec.encode(answer), sender)
 
-    def _take_answer(self, msg: messages.GrantAnswer) -> None:
-        asked = self._asked.get(msg.number)
-        if asked is not None and not asked.done():
-            asked.set_result(msg)
+    def _receive_answer(self, msg: messages.GrantAnswer) -> None:
+        pending = self._pending.get(msg.number)
+        if pending is not None and not pending.done():
+            pending.set_result(msg)
 
     def _decide(
         self,
         key: endpoints.Incarnation,
-        wish: rate_grants.GrantApplicant,
+        applicant: rate_grants.GrantApplicant,
         now: float,
     ) -> rate_grants.GrantDecision:
         """Return the owner's decision on a request for a grant."""
@@ -283,36 +297,38 @@
             return rate_grants.GrantDecision(granted=True)
         if self._owner(key.id, now) != self._vm:
             # The gateways do not agree yet on the owner.
-            return rate_grants.GrantDecision(granted=False, wait_s=_ANSWER_S)
-        return self._book.decide(
+            return rate_grants.GrantDecision(
+                granted=False, wait_s=_ANSWER_TIMEOUT_S
+            )
+        return self._ledger.decide(
             key,
-            wish,
+            applicant,
             per_s=per_s,
             since=self._eligible.rates.since(key),
-            share=self._share(now),
+            share=self._reachable_share(now),
             now=now,
         )
 
-    def _give_back(self, grant: Grant) -> None:
+    def _release(self, grant: Grant) -> None:
         key = grant.endpoint.incarnation
         if grant.owner == self._vm:
-            self._book.release(key)
+            self._ledger.release(key)
             return
         self._send_to(
             grant.owner, messages.ReturnGrant(endpoint=key.id, born=key.born)
         )
 
     def _owner(self, key: types.EndpointId, now: float) -> types.VmId:
-        return rate_grants.owner(key, self._heard(now))
+        return rate_grants.owner(key, self._possible_owners(now))
 
-    def _heard(self, now: float) -> list[types.VmId]:
+    def _possible_owners(self, now: float) -> list[types.VmId]:
         """Return the gateways that may own a rate, this one included.
 
         Gateways of other groups send no load reports here; they count while
         the coordinators list them.
         """
-        since = now - _SILENT_S
-        heard = [
+        since = now - _OWNER_TIMEOUT_S
+        others = [
             vm
             for vm in self._gateways
             if vm != self._vm
@@ -321,13 +337,13 @@
                 or self._loads.received_since(vm, since)
             )
         ]
-        return [self._vm, *heard]
+        return [self._vm, *others]
 
-    def _share(self, now: float) -> float:
+    def _reachable_share(self, now: float) -> float:
         """Return the share of all gateways that may own a rate."""
         known = len(set(self._gateways) | {self._vm})
-        return len(self._heard(now)) / known
+        return len(self._possible_owners(now)) / known
 
 
-def _nowhere(data: bytes, addr: address.Address) -> None:
+def _send_nothing(data: bytes, addr: address.Address) -> None:
     """Drop a datagram: there is no socket yet."""
--- a/rackpost/gateway/reservation.py
+++ b/rackpost/gateway/reservation.py
@@ -56,38 +56,38 @@
         *,
         endpoint: endpoints.Endpoint,
         prefill_endpoint: endpoints.Endpoint | None,
-        free: Callable[[], None],
-        end_turn: Callable[[], None],
-        changed: Callable[[], None],
+        release_capacity: Callable[[], None],
+        release_prefill: Callable[[], None],
+        on_change: Callable[[], None],
         reserved_at: float,
     ) -> None:
         """Take over capacity that is reserved already.
 
-        `free` releases the capacity at the decode endpoint, and `end_turn` the
-        share of the endpoint that prefills.  `changed` is called when capacity
-        may have become available.  `since` is the loop's clock at the time of
-        the reservation.
+        `release_capacity` releases it at the decode endpoint, and
+        `release_prefill` the capacity for the prefill.  `on_change` is called
+        when capacity may have become available.  `reserved_at` is a reading of
+        the loop's clock.
         """
         self.endpoint = endpoint
         self.reserved_at = reserved_at
         self.prefill_endpoint = prefill_endpoint
-        self._free = free
-        self._end_turn = end_turn
-        self._changed = changed
-        self._is_read = False
+        self._release_capacity = release_capacity
+        self._release_prefill = release_prefill
+        self._on_change = on_change
+        self._is_prefilled = False
 
     def record_prefilled(self) -> None:
         """Release the endpoint that prefills, once the prompt is prefilled.
 
         Further calls have no effect.
         """
-        if not self._is_read:
-            self._is_read = True
-            self._end_turn()
-            self._changed()
+        if not self._is_prefilled:
+            self._is_prefilled = True
+            self._release_prefill()
+            self._on_change()
 
     def release(self) -> None:
         """Release all capacity; the generation has ended here."""
         self.record_prefilled()
-        self._free()
-        self._changed()
+        self._release_capacity()
+        self._on_change()
--- a/rackpost/gateway/routing_updates.py
+++ b/rackpost/gateway/routing_updates.py
@@ -12,15 +12,15 @@
 from rackpost.routing import changes
 
 
-class _Asks(enum.Enum):
+class _RequestKind(enum.Enum):
     """Whether a request for a chunk was the first or a retry."""
 
     FIRST = "first"
-    AGAIN = "again"
+    RETRY = "again"
 
     @classmethod
-    def of(cls, again: bool) -> "_Asks":
-        return cls.AGAIN if again else cls.FIRST
+    def of(cls, is_retry: bool) -> "_RequestKind":
+        return cls.RETRY if is_retry else cls.FIRST
 
 
 class RoutingUpdates:
@@ -37,43 +37,47 @@
         self._timer: asyncio.TimerHandle | None = None
         self._hosts: dict[channel.Channel, str] = {}
 
-    def told(self, conn: channel.Channel, host: str, version: int) -> None:
+    def record_version(
+        self, conn: channel.Channel, host: str, version: int
+    ) -> None:
         """Record the version that a linked coordinator has."""
         self._hosts[conn] = host
         self._fetch.record_version(conn, version)
-        self._ask()
+        self._request_next()
 
-    def lost(self, conn: channel.Channel) -> None:
+    def link_lost(self, conn: channel.Channel) -> None:
         """Record that a link has ended."""
         self._hosts.pop(conn, None)
         self._fetch.remove_peer(conn)
-        self._ask()
+        self._request_next()
 
-    def _ask(self) -> None:
+    def _request_next(self) -> None:
         """Request the next chunk of a newer document, if one is due."""
-        ask = self._fetch.next_request(
+        request = self._fetch.next_request(
             have=self._site.version, now=self._loop.time()
         )
-        if ask is not None:
-            self._say_ask(ask)
-            ask.peer.send(ask.msg)
+        if request is not None:
+            self._log_request(request)
+            request.peer.send(request.msg)
         self._set_timer()
 
-    def _say_ask(
-        self, ask: document_fetch.FetchRequest[channel.Channel]
+    def _log_request(
+        self, request: document_fetch.FetchRequest[channel.Channel]
     ) -> None:
-        self._site.metrics.count("document_asks", _Asks.of(ask.is_retry))
-        if ask.msg.offset and not ask.is_retry:
+        self._site.metrics.count(
+            "document_asks", _RequestKind.of(request.is_retry)
+        )
+        if request.msg.offset and not request.is_retry:
             # One log line per transfer is enough without retries.
             return
         logs.say(
             logs.Part.GATEWAY,
             "Routing document asked for.",
             version=self._fetch.newest,
-            have=ask.msg.held_version,
-            offset=ask.msg.offset,
-            peer=self._hosts[ask.peer],
-            again=ask.is_retry,
+            have=request.msg.held_version,
+            offset=request.msg.offset,
+            peer=self._hosts[request.peer],
+            again=request.is_retry,
         )
 
     def _set_timer(self) -> None:
@@ -81,28 +85,32 @@
             self._timer.cancel()
             self._timer = None
         if self._fetch.wake_at is not None:
-            self._timer = self._loop.call_at(self._fetch.wake_at, self._ask)
+            self._timer = self._loop.call_at(
+                self._fetch.wake_at, self._request_next
+            )
 
-    def take(self, conn: channel.Channel, part: messages.RoutingChunk) -> None:
+    def receive_chunk(
+        self, conn: channel.Channel, chunk: messages.RoutingChunk
+    ) -> None:
         """Handle a chunk that came over a link."""
-        arrived = self._fetch.receive(conn, part, self._loop.time())
-        if arrived is not None:
-            self._on_change(part, arrived)
-        self._ask()
+        transfer = self._fetch.receive(conn, chunk, self._loop.time())
+        if transfer is not None:
+            self._apply(chunk, transfer)
+        self._request_next()
 
-    def _on_change(
-        self, part: messages.RoutingChunk, arrived: document_fetch.Transfer
+    def _apply(
+        self, chunk: messages.RoutingChunk, transfer: document_fetch.Transfer
     ) -> None:
         before = self._site.version
         try:
-            change = changes.decode(arrived.data)
+            change = changes.decode(transfer.data)
             is_new = self._site.apply_routing(change)
         except exceptions.RoutingError as exc:
             logs.say(
                 logs.Part.GATEWAY,
                 "Routing document can't be used.",
-                version=part.version,
-                base=part.base,
+                version=chunk.version,
+                base=chunk.base,
                 before=before,
                 why=str(exc),
             )
@@ -114,11 +122,11 @@
                 "Routing document in force.",
                 version=change.version,
                 before=before,
-                base=part.base,
+                base=chunk.base,
                 routes=change.routes,
                 changed=change.size,
-                bytes=part.size,
-                took_s=round(arrived.took_s, 3),
+                bytes=chunk.size,
+                took_s=round(transfer.took_s, 3),
             )
 
     def close(self) -> None:
--- a/rackpost/gateway/site.py
+++ b/rackpost/gateway/site.py
@@ -41,9 +41,9 @@
 
 # An endpoint without this many heartbeats is used last; single ones may be
 # seconds late, and a coordinator's crash loses two.
-_SILENT_BEATS = 3.5
+_MAX_MISSED_HEARTBEATS = 3.5
 # Gateways send load reports at least each second.
-_GATEWAY_SILENT_S = 1.3
+_GATEWAY_TIMEOUT_S = 1.3
 
 
 class Site:
@@ -64,12 +64,12 @@
         self.began = self._loop.time()
         self.routes: match.RouteTable | None = None
         # Set once there are routes.
-        self.routed = asyncio.Event()
+        self.routes_loaded = asyncio.Event()
         self.table = endpoints.EndpointTable()
-        self.suspects = crash_tracker_mod.CrashTracker(table=self.table)
+        self.crash_tracker = crash_tracker_mod.CrashTracker(table=self.table)
         self.loads_changed = asyncio.Event()
         self.loads = endpoint_load.LoadTable(on_change=self.loads_changed.set)
-        self.room_changed = asyncio.Event()
+        self.capacity_changed = asyncio.Event()
         self.health = endpoint_health.HealthTracker()
         self.pool = pool_mod.Pool(id_header=headers.REQUEST_ID)
         self.group = gateway_groups.Group(vm=host.vm)
@@ -78,7 +78,9 @@
             candidates=candidates.Candidates(
                 table=self.table,
                 eligible=self.eligible,
-                silent_after_s=_SILENT_BEATS * host.heartbeat_ms / 1000.0,
+                silent_after_s=_MAX_MISSED_HEARTBEATS
+                * host.heartbeat_ms
+                / 1000.0,
                 group=self.group,
                 health=self.health,
             ),
@@ -87,25 +89,25 @@
             data_centre=host.data_centre,
             rng=self.rng,
         )
-        self.pace = token_timing_mod.TokenTiming()
-        self.lengths = answer_lengths.AnswerLengths()
-        self.refused = recent_refusals_mod.RefusalTable()
-        self.room = admission_queue_mod.AdmissionQueue(
+        self.token_timing = token_timing_mod.TokenTiming()
+        self.answer_lengths = answer_lengths.AnswerLengths()
+        self.refusals = recent_refusals_mod.RefusalTable()
+        self.admission_queue = admission_queue_mod.AdmissionQueue(
             chooser=self.chooser,
             loads=self.loads,
-            pace=self.pace,
-            capacity_changed=self.room_changed,
+            pace=self.token_timing,
+            capacity_changed=self.capacity_changed,
             rng=self.rng,
             vm=host.vm,
             on_waiters_changed=self.loads_changed.set,
             split=policy.split,
         )
         self.quotas = quota_buckets.SharedBuckets(
-            terms=_quota_terms(host.bounds),
+            terms=_quota_settings(host.bounds),
             began=self.began,
-            limit_of=self._limit_of,
+            limit_of=self._quota_of,
         )
-        self.grants = rate_grants.RateGrants(
+        self.rate_grants = rate_grants.RateGrants(
             vm=host.vm,
             eligible=self.eligible,
             loads=self.loads,
@@ -118,12 +120,18 @@
         )
         self.gateways: dict[types.VmId, messages.GatewayAddress] = {}
         self.planned_stop = planned_stop.PlannedStop()
-        self._told: set[types.VmId] = set()
-        self._lines: dict[types.ServiceName, plain_queue.PlainQueue] = {}
-        self._meters: dict[types.ServiceName, role_balance.DemandMeter] = {}
-        self._budgets: dict[types.ServiceName, retry_budget.RetryBudget] = {}
+        self._listed_vms: set[types.VmId] = set()
+        self._plain_queues: dict[types.ServiceName, plain_queue.PlainQueue] = (
+            {}
+        )
+        self._demand_meters: dict[
+            types.ServiceName, role_balance.DemandMeter
+        ] = {}
+        self._retry_budgets: dict[
+            types.ServiceName, retry_budget.RetryBudget
+        ] = {}
 
-    def _limit_of(self, name: types.OrganisationName) -> model.Quota | None:
+    def _quota_of(self, name: types.OrganisationName) -> model.Quota | None:
         if self.routes is None:
             return None
         item = self.routes.organisations.by_name(name)
@@ -147,39 +155,39 @@
         """How many gateways share the site's budgets, this one included."""
         return max(1, len(self.gateways))
 
-    def set_gateways(self, told: Sequence[messages.GatewayAddress]) -> None:
+    def set_gateways(self, listed: Sequence[messages.GatewayAddress]) -> None:
         """Take the list of linked gateways that coordinators report."""
-        self._told = {item.vm for item in told}
-        for item in told:
+        self._listed_vms = {item.vm for item in listed}
+        for item in listed:
             self.add_gateway(item)
-        self.drop_gateways()
+        self.drop_silent_gateways()
 
-    def _note_gateways(self) -> None:
+    def _apply_gateway_count(self) -> None:
         """Apply the number of gateways that share endpoints and quotas."""
         self.chooser.set_gateways(self.gateway_count)
         self.group.set_gateways(self.gateway_count)
         self.quotas.gateways = self.gateway_count
-        self.grants.set_gateways(self.gateways.values())
+        self.rate_grants.set_gateways(self.gateways.values())
 
     def add_gateway(self, item: messages.GatewayAddress) -> None:
         """Add a gateway that shares the site's budgets and endpoints."""
         if self.gateways.get(item.vm) != item:
             self.gateways[item.vm] = item
-            self._note_gateways()
+            self._apply_gateway_count()
             # A new gateway needs this one's load report.
             self.loads_changed.set()
 
-    def drop_gateways(self) -> None:
+    def drop_silent_gateways(self) -> None:
         """Drop gateways without load reports that no coordinator lists.
 
         A gateway that is cut off from the coordinators goes on serving and
         stays.
         """
-        since = self.loop_time() - _GATEWAY_SILENT_S
-        for vm in set(self.gateways) - self._told - {self.host.vm}:
+        since = self.loop_time() - _GATEWAY_TIMEOUT_S
+        for vm in set(self.gateways) - self._listed_vms - {self.host.vm}:
             if not self.loads.received_since(vm, since):
                 del self.gateways[vm]
-                self._note_gateways()
+                self._apply_gateway_count()
                 self.loads.forget(vm)
 
     def apply_routing(self, change: changes.Change) -> bool:
@@ -193,12 +201,14 @@
         routes = self.routes or match.RouteTable()
         routes.apply(change)
         self.routes = routes
-        self.routed.set()
+        self.routes_loaded.set()
         return True
 
-    def budget(self, service: types.ServiceName) -> retry_budget.RetryBudget:
+    def retry_budget(
+        self, service: types.ServiceName
+    ) -> retry_budget.RetryBudget:
         """Return the retry budget of a service."""
-        found = self._budgets.get(service)
+        found = self._retry_budgets.get(service)
         if found is None:
             bounds = self.host.bounds
             found = retry_budget.RetryBudget(
@@ -206,35 +216,39 @@
                 slack=bounds.retry_slack,
                 window_s=bounds.retry_window_s,
             )
-            self._budgets[service] = found
+            self._retry_budgets[service] = found
         return found
 
-    def line(self, service: types.ServiceName) -> plain_queue.PlainQueue:
+    def plain_queue(
+        self, service: types.ServiceName
+    ) -> plain_queue.PlainQueue:
         """Return the queue of requests that wait for a plain service."""
-        return self._lines.setdefault(service, plain_queue.PlainQueue())
+        return self._plain_queues.setdefault(service, plain_queue.PlainQueue())
 
-    def meter(self, service: types.ServiceName) -> role_balance.DemandMeter:
+    def demand_meter(
+        self, service: types.ServiceName
+    ) -> role_balance.DemandMeter:
         """Return the demand meter of a model service."""
-        found = self._meters.get(service)
+        found = self._demand_meters.get(service)
         if found is None:
             found = role_balance.DemandMeter(began=self.began)
-            self._meters[service] = found
+            self._demand_meters[service] = found
         return found
 
     def demands(self) -> tuple[role_balance.Demand, ...]:
         """Return the recent demand for each model service."""
         now = self.loop_time()
         return tuple(
-            meter.demand(service, now, self.pace)
-            for service, meter in self._meters.items()
+            meter.demand(service, now, self.token_timing)
+            for service, meter in self._demand_meters.items()
         )
 
-    def connections_to(self, service: model.Service) -> int:
+    def max_connections_to(self, service: model.Service) -> int:
         """Return how many connections this gateway may open per endpoint."""
         return max(2, service.max_connections * 9 // 10 // self.gateway_count)
 
 
-def _quota_terms(bounds: settings.Bounds) -> quota.QuotaSettings:
+def _quota_settings(bounds: settings.Bounds) -> quota.QuotaSettings:
     return quota.QuotaSettings(
         window_s=bounds.quota_window_s,
         overshoot=bounds.quota_overshoot,
--- a/rackpost/gateway/stream_times.py
+++ b/rackpost/gateway/stream_times.py
@@ -13,7 +13,7 @@
         self.first_s: float | None = None
         self.longest_pause_s = 0.0
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Record an event that is sent to the client."""
         if self.first_s is None:
             self.first_s = now - self._began
@@ -29,7 +29,7 @@
         first_late = 0.0 < route.target_s < self.first_s
         return first_late or 0.0 < route.gap_s < self.longest_pause_s
 
-    def facts(self) -> dict[str, float]:
+    def log_fields(self) -> dict[str, float]:
         """Return the fields for the log; none without an event."""
         if self.first_s is None:
             return {}
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -112,7 +112,7 @@
             assert await site.operator.leave(11, site.plain[1]) == 200
             table = site.gateway.site.table
             await platform_site.until(lambda: len(table.alive) == 4)
-            site.gateway.site.connections_to = lambda service: 1
+            site.gateway.site.max_connections_to = lambda service: 1
             tasks = [
                 asyncio.create_task(site.raw(test_gateway.request("/safe/x")))
                 for _ in range(4)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -193,7 +193,7 @@
                     target=b"/safe/x",
                     body=b"asked",
                 )
-                suspects = site.gateways[31].site.suspects
+                suspects = site.gateways[31].site.crash_tracker
                 told = [
                     quarantine.Suspicion(
                         request=known_by,
@@ -222,7 +222,9 @@
                 assert await site.release(held[0]) == 404
                 await platform_site.until(
                     lambda: not any(
-                        item.site.suspects.book.quarantined(site.now())
+                        item.site.crash_tracker.quarantine.quarantined(
+                            site.now()
+                        )
                         for item in site.gateways.values()
                     )
                 )
--- a/tests/test_gateway_prompts.py
+++ b/tests/test_gateway_prompts.py
@@ -104,7 +104,7 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             gateway = site.gateway.site
-            budget = gateway.budget(types.ServiceName("model"))
+            budget = gateway.retry_budget(types.ServiceName("model"))
 
             async def reads(ident: str) -> int:
                 now = gateway.loop_time()
@@ -134,7 +134,7 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             gateway = site.gateway.site
-            budget = gateway.budget(types.ServiceName("model"))
+            budget = gateway.retry_budget(types.ServiceName("model"))
             now = gateway.loop_time()
             for _ in range(100):
                 budget.record_retry(now)
--- a/tests/test_rate_soak.py
+++ b/tests/test_rate_soak.py
@@ -156,7 +156,7 @@
 
     def started(self, number: int) -> None:
         """Some of the datagrams about grants are lost."""
-        grants = self.site.gateways[number].site.grants
+        grants = self.site.gateways[number].site.rate_grants
         send = grants.send
 
         def lossy(data: bytes, addr: address.Address) -> None:
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -27,7 +27,7 @@
 def close_late(site: site_mod.Site, *, left_s: float) -> None:
     """A planned stop is so far that it ends in `left_s` seconds."""
     site.planned_stop.begin(site.loop_time() + left_s)
-    site.planned_stop.close()
+    site.planned_stop.restrict()
 
 
 def hinted(tokens: int) -> bytes:
@@ -105,7 +105,7 @@
             own.planned_stop = planned_stop.PlannedStop()
             await site.gateway.stop()
             assert own.planned_stop.ends_at < own.loop_time() + 8.0
-            assert not own.planned_stop.may_begin(own.loop_time() + 8.0)
+            assert not own.planned_stop.may_start(own.loop_time() + 8.0)
 
     asyncio.run(main())
 
@@ -132,14 +132,14 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             own = site.gateway.site
-            own.pace.record_decode(10, 10.0)
+            own.token_timing.record_decode(10, 10.0)
             own.planned_stop.begin(own.loop_time() + 5.0)
             got = await site.raw(hinted(8))
             assert test_gateway.status(got) == 503
             assert b"retry-after: 0.05" in got
             assert not site.prefill.requests
             # Nothing was full: elsewhere it comes as a new one.
-            assert not own.refused.recent(own.loop_time())
+            assert not own.refusals.recent(own.loop_time())
             own.planned_stop.begin(own.loop_time() + 30.0)
             got = await site.raw(hinted(1))
             assert test_gateway.status(got) == 200
@@ -160,9 +160,9 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             own = site.gateway.site
-            own.pace.record_decode(10, 10.0)
+            own.token_timing.record_decode(10, 10.0)
             own.planned_stop.begin(own.loop_time() + 5.0)
-            await asyncio.sleep(admission_queue._TRY_S + 0.1)
+            await asyncio.sleep(admission_queue._PROBE_INTERVAL_S + 0.1)
             got = await site.raw(hinted(8))
             assert test_gateway.status(got) == 503
             assert not site.prefill.requests
@@ -216,7 +216,7 @@
         async with platform_site.small_site(tmp_path) as site:
             known = site.gateway.site
             routes, known.routes = known.routes, None
-            known.routed.clear()
+            known.routes_loaded.clear()
             known.began = known.loop_time()
             asked = asyncio.create_task(
                 site.raw(test_gateway.request("/safe/x"))
@@ -224,7 +224,7 @@
             done, _ = await asyncio.wait([asked], timeout=0.1)
             assert not done
             known.routes = routes
-            known.routed.set()
+            known.routes_loaded.set()
             assert test_gateway.status(await asked) == 200
 
     asyncio.run(main())
@@ -237,7 +237,7 @@
         async with platform_site.small_site(tmp_path) as site:
             known = site.gateway.site
             known.routes = None
-            known.routed.clear()
+            known.routes_loaded.clear()
             known.began = known.loop_time() - 10.0
             got = await site.raw(test_gateway.request("/safe/x"))
             assert test_gateway.status(got) == 503
@@ -283,7 +283,7 @@
         assert site.loads.total(types.EndpointId("a")).requests == 3
         assert other.vm in site.gateways
         site.loads.receive(other.vm, 1, 2, use, now - 2.0)
-        site.drop_gateways()
+        site.drop_silent_gateways()
         assert other.vm not in site.gateways
         assert not site.loads.total(types.EndpointId("a")).requests
 
@@ -315,7 +315,7 @@
             priority=0, slack_s=2.0, start_s=5.0
         )
         assert site.loads.waiting_ahead(later, site.host.vm, now) == 1
-        assert site.refused.was_refused(11, now)
+        assert site.refusals.was_refused(11, now)
         assert site.health.is_avoided(types.EndpointId("a"), now)
         assert site.health.is_full(types.EndpointId("b"), now)
 
--- a/tests/test_stream_times.py
+++ b/tests/test_stream_times.py
@@ -20,7 +20,7 @@
 def times(*at: float) -> stream_times.StreamTimes:
     found = stream_times.StreamTimes(began=0.0)
     for reading in at:
-        found.note_event(reading)
+        found.record_event(reading)
     return found
 
 
