--- a/rackpost/gateway/admission_queue.py
+++ b/rackpost/gateway/admission_queue.py
@@ -27,9 +27,9 @@
 # prefill work.  It keeps the endpoint busy while load reports travel; longer
 # queues form here, ordered by deadline and holding no KV memory.
 _MAX_PREFILL_QUEUE_S = 0.25
-# Waiting requests without a fitting endpoint that one pass looks at.
+# Requests without a fitting endpoint after which a pass over the queue ends.
 _MAX_UNPLACED = 4
-# Waiting requests that are reported to other gateways.
+# Number of waiting requests that are reported to other gateways.
 _MAX_REPORTED = 6
 # Delay per gateway, in seconds, so that changes that arrive together are
 # handled in one pass: a large fleet sends hundreds of reports a second.
