--- a/tests/crashing_site.py
+++ b/tests/crashing_site.py
@@ -1,4 +1,4 @@
-"""A site with endpoints that end under some requests, as processes do."""
+"""A site with endpoints that crash under some requests."""
 
 import asyncio
 import contextlib
@@ -19,17 +19,17 @@
 
 
 class Endpoint(platform_site.Endpoint):
-    """Ends, with all that it runs, when it begins a request to crash.
+    """Crashes, with all that it runs, when it starts a crashing request.
 
-    Under some it ends when it reads their prompts, and not when it runs them.
+    Some requests crash it in their prefill, and others in their decode.
     """
 
     def __init__(self, *, ident: str, service: str, stage: str = "") -> None:
         super().__init__(ident=ident, service=service, stage=stage)
         self._name = ident
         self._running: set[server.Responder] = set()
-        # Bodies under which it ended, one for each of its lives.
-        self.crashed: list[bytes] = []
+        # Bodies under which it crashed, one for each incarnation.
+        self.crashed_bodies: list[bytes] = []
         self.answer = self._run
 
     @property
@@ -39,13 +39,15 @@
     async def _run(
         self, req: message.Request, responder: server.Responder
     ) -> None:
-        is_read = message.find(req.headers, b"x-serving-stage") is not None
-        if req.body.startswith(b"crash reader" if is_read else b"crash run"):
+        is_prefill = message.find(req.headers, b"x-serving-stage") is not None
+        if req.body.startswith(
+            b"crash reader" if is_prefill else b"crash run"
+        ):
             self._crash(req, responder)
             return
         self._running.add(responder)
         try:
-            if req.body.startswith(b"slow") and not is_read:
+            if req.body.startswith(b"slow") and not is_prefill:
                 await asyncio.sleep(platform_site.TIMEOUT_S)
             await self.default_answer(req, responder)
         finally:
@@ -54,11 +56,11 @@
     def _crash(
         self, req: message.Request, responder: server.Responder
     ) -> None:
-        self.crashed.append(req.body)
+        self.crashed_bodies.append(req.body)
         for one in [responder, *self._running]:
             one.abort()
-        # A new process, under a new id, at the same address.
-        self.ident = f"{self._name}-{len(self.crashed)}"
+        # A new process, with a new id, at the same address.
+        self.ident = f"{self._name}-{len(self.crashed_bodies)}"
         self.sequence = 0
 
 
@@ -86,8 +88,8 @@
         self.coordinators: dict[int, coordinator_process.Coordinator] = {}
         self.gateways: dict[int, gateway_process.Gateway] = {}
         self._stacks: dict[int, contextlib.AsyncExitStack] = {}
-        self._wiped = 0
-        self._asked = 0
+        self._lost_disks = 0
+        self._request_count = 0
 
     @property
     def endpoints(self) -> list[Endpoint]:
@@ -95,11 +97,11 @@
 
     @property
     def crashes(self) -> int:
-        return sum(len(item.crashed) for item in self.endpoints)
+        return sum(len(item.crashed_bodies) for item in self.endpoints)
 
     def crashes_by(self, body: bytes) -> int:
-        """How many endpoints ended under one request."""
-        return sum(item.crashed.count(body) for item in self.endpoints)
+        """Return how many endpoints crashed under one request."""
+        return sum(item.crashed_bodies.count(body) for item in self.endpoints)
 
     async def start(self, number: int, *, first: bool = False) -> None:
         """Start a coordinator or a gateway."""
@@ -120,41 +122,41 @@
             self.gateways[number] = await enter(platform_site.gateway(host))
 
     async def stop(self, number: int) -> None:
-        """End a process, in the middle of whatever it does."""
+        """Stop a process abruptly."""
         self.coordinators.pop(number, None)
         self.gateways.pop(number, None)
         await self._stacks.pop(number).aclose()
 
-    def wipe(self, number: int) -> None:
-        """A coordinator that is down loses its disk.
+    def lose_disk(self, number: int) -> None:
+        """Lose the disk of a coordinator that is down.
 
-        Moved away in one step: a thread of the process that ended here, which
-        a kill would have ended too, may still put a file in place.
+        The folder is renamed, not deleted: a disk thread of the stopped
+        process may still write a file, which a real kill would have prevented.
         """
-        self._wiped += 1
+        self._lost_disks += 1
         folder = self.plan.root / f"core-{number}"
-        folder.rename(self.plan.root / f"lost-{self._wiped}")
+        folder.rename(self.plan.root / f"lost-{self._lost_disks}")
 
     @contextlib.asynccontextmanager
     async def powered(self, *, first: bool) -> AsyncIterator[None]:
-        """All coordinators and gateways, until power goes."""
+        """Run all coordinators and gateways until the block ends."""
         try:
             for number in self.core:
                 await self.start(number, first=first)
             await self.operator.put_until_accepted(self.core[-1], _document())
             for number in GATEWAYS:
                 await self.start(number)
-            await self.is_known()
+            await self.wait_until_known()
             yield
         finally:
             for number in list(self._stacks):
                 await self.stop(number)
 
-    async def all_vote(self) -> None:
-        """Wait until every coordinator votes, and knows it of all others.
+    async def wait_until_all_vote(self) -> None:
+        """Wait until every coordinator votes, and all others know it.
 
-        Under the id that it has now: one that lost its disk has a new one,
-        and until that votes its disk counts as lost.
+        A coordinator that lost its disk has a new id, and its disk counts as
+        lost until that id votes.
         """
         await platform_site.until(self._votes_are_known)
 
@@ -166,8 +168,8 @@
             for node in nodes
         )
 
-    async def is_known(self) -> None:
-        """Every endpoint, in its present life, at every gateway."""
+    async def wait_until_known(self) -> None:
+        """Wait until every gateway knows every endpoint's incarnation."""
         for endpoint in self.endpoints:
             assert (
                 await self.operator.send_heartbeat(self.core[-1], endpoint)
@@ -185,17 +187,17 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def core_books(self) -> list[quarantine.Quarantine]:
+    def quarantine_tables(self) -> list[quarantine.Quarantine]:
         return [one.quarantine.table for one in self.coordinators.values()]
 
-    async def runs(self, number: int) -> None:
-        """Wait until so many requests run at the endpoints."""
+    async def wait_until_running(self, number: int) -> None:
+        """Wait until this many requests run at the endpoints."""
         await platform_site.until(
             lambda: sum(item.running_now for item in self.endpoints) == number
         )
 
-    async def held(self) -> list[str]:
-        """What an operator is shown of requests that are held back."""
+    async def quarantined(self) -> list[str]:
+        """Return the fingerprints that operators see as quarantined."""
         ip, port = self.plan.ip(self.core[0]), self.plan.base + 2
         async with self.operator.http.get(f"http://{ip}:{port}/status") as got:
             found = json.loads(await got.read())
@@ -207,17 +209,17 @@
         async with self.operator.http.delete(url) as got:
             return got.status
 
-    async def ask(
+    async def send(
         self, number: int, path: str, body: bytes, more: str = ""
     ) -> bytes:
-        """Send a request to a gateway, under an id that is new."""
-        self._asked += 1
+        """Send a request to a gateway, with a new id."""
+        self._request_count += 1
         reader, writer = await asyncio.open_connection(
             *self.plan.front(number)
         )
         head = (
             f"POST {path} HTTP/1.1\r\nHost: site.example\r\n"
-            f"X-Request-Id: r{self._asked}\r\nX-Deadline-Ms: 3000\r\n"
+            f"X-Request-Id: r{self._request_count}\r\nX-Deadline-Ms: 3000\r\n"
             "X-Token-Usage: 100,50\r\nConnection: close\r\n"
             f"{more}Content-Length: {len(body)}\r\n\r\n"
         )
@@ -236,7 +238,7 @@
 async def site(
     root: pathlib.Path, *, core: tuple[int, ...] = (11,), lost: int = 0
 ) -> AsyncIterator[Site]:
-    """A site whose endpoints run; power is off."""
+    """A site whose endpoints run; no coordinator or gateway does yet."""
     plan = platform_site.Plan(root=root)
     found = Site(plan=plan, core=core, lost=lost)
     async with contextlib.AsyncExitStack() as stack:
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""Many gateways wait for the same places: who gets them, and how many."""
+"""Many gateways compete for the same decode capacity."""
 
 import asyncio
 import random
@@ -19,13 +19,13 @@
 
 SERVICE = types.ServiceName("model")
 SLOTS = 6
-_TELL_S = 0.03
-# How long a prefill endpoint takes for a prompt, in seconds.
-_READ_S = 0.05
+_REPORT_DELAY_S = 0.03
+# How long a prefill takes, in seconds.
+_PREFILL_S = 0.05
 
 
 class Gateway:
-    """The room of one gateway and what it rests on."""
+    """The admission queue of one gateway and its state."""
 
     def __init__(self, *, number: int) -> None:
         self.vm = types.VmId(f"g{number}")
@@ -34,13 +34,13 @@
         self.table = endpoints.EndpointTable()
         self.loads = endpoint_load.LoadTable(on_change=self.publish_due.set)
         self.health = endpoint_health.HealthTracker()
-        self.sent = 0
+        self.report_count = 0
         rng = random.Random(number)
         self.eligible = eligibility.Eligibility(
             table=self.table, rng=random.Random(1)
         )
-        known = token_timing.TokenTiming()
-        known.record_decode(100, 3.0)
+        timing = token_timing.TokenTiming()
+        timing.record_decode(100, 3.0)
         self.queue = admission_queue.AdmissionQueue(
             chooser=endpoint_choice.Chooser(
                 candidates=candidates.Candidates(
@@ -55,7 +55,7 @@
                 rng=rng,
             ),
             loads=self.loads,
-            pace=known,
+            pace=timing,
             rng=rng,
             vm=self.vm,
             capacity_changed=self.changed,
@@ -75,7 +75,7 @@
             ),
             0.0,
         )
-        # Prompts are read elsewhere.
+        # A prefill endpoint, so that prompts are not prefilled in place.
         self.table.update(
             endpoints.Endpoint(
                 id=types.EndpointId("p"),
@@ -91,22 +91,22 @@
 
 
 class Group:
-    """Gateways that tell each other their figures, a little late."""
+    """Gateways that exchange load reports with a delay."""
 
     def __init__(self, *, count: int) -> None:
         self.gateways = [Gateway(number=number) for number in range(count)]
         self.tasks = []
         for gateway in self.gateways:
             self.tasks.append(asyncio.create_task(gateway.queue.run()))
-            self.tasks.append(asyncio.create_task(self._tell(gateway)))
+            self.tasks.append(asyncio.create_task(self._publish(gateway)))
 
-    async def _tell(self, gateway: Gateway) -> None:
+    async def _publish(self, gateway: Gateway) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await gateway.publish_due.wait()
-            await asyncio.sleep(_TELL_S)
+            await asyncio.sleep(_REPORT_DELAY_S)
             gateway.publish_due.clear()
-            gateway.sent += 1
+            gateway.report_count += 1
             now = loop.time()
             uses = {
                 key: endpoint_load.EndpointLoad(
@@ -121,7 +121,7 @@
                     other.loads.receive(
                         gateway.vm,
                         1,
-                        gateway.sent,
+                        gateway.report_count,
                         uses,
                         now,
                         waiting=gateway.queue.most_urgent_waiters(now),
@@ -129,15 +129,17 @@
                     other.changed.set()
 
     async def generate(
-        self, gateway: Gateway, needs: reservation_mod.ReservationRequest
+        self, gateway: Gateway, request: reservation_mod.ReservationRequest
     ) -> reservation_mod.DecodeReservation | reservation_mod.NoCapacity:
-        """Wait for a place and have the prompt read, as a request does."""
-        place = await gateway.queue.reserve(needs)
-        if isinstance(place, reservation_mod.DecodeReservation):
-            await asyncio.sleep(_READ_S)
-            gateway.queue._pace.record_prefill(needs.run.held_tokens, _READ_S)
-            place.record_prefilled()
-        return place
+        """Wait for a reservation and prefill the prompt, as a request does."""
+        reservation = await gateway.queue.reserve(request)
+        if isinstance(reservation, reservation_mod.DecodeReservation):
+            await asyncio.sleep(_PREFILL_S)
+            gateway.queue._pace.record_prefill(
+                request.run.held_tokens, _PREFILL_S
+            )
+            reservation.record_prefilled()
+        return reservation
 
     def requests_at(self, number: int) -> int:
         key = types.EndpointId(f"d{number}")
@@ -171,14 +173,14 @@
     )
 
 
-def test_a_place_that_comes_free_is_not_taken_by_all() -> None:
-    """Thirty gateways sent fifty requests to one endpoint of six slots."""
+def test_free_capacity_is_not_reserved_by_all_gateways() -> None:
+    """Thirty gateways must not overload an endpoint of six slots."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         group = Group(count=30)
         await asyncio.sleep(0.1)
-        waits = [
+        tasks = [
             asyncio.create_task(
                 group.generate(
                     gateway, reservation_request(loop.time(), 0.5 + 0.01 * at)
@@ -187,27 +189,27 @@
             for at, gateway in enumerate(group.gateways * 2)
         ]
         await asyncio.sleep(0.5)
-        assert not any(task.done() for task in waits)
-        most = 0
+        assert not any(task.done() for task in tasks)
+        max_requests = 0
         for gateway in group.gateways:
             gateway.add_endpoint(0)
         for _ in range(300):
             await asyncio.sleep(0.01)
-            most = max(most, group.requests_at(0))
-        assert SLOTS - 1 <= most <= SLOTS + 2
-        placed = [task for task in waits if task.done()]
-        for task in placed:
-            place = task.result()
-            assert isinstance(place, reservation_mod.DecodeReservation)
-            place.release()
-        # What is released is taken by others, again by few at a time.
+            max_requests = max(max_requests, group.requests_at(0))
+        assert SLOTS - 1 <= max_requests <= SLOTS + 2
+        admitted = [task for task in tasks if task.done()]
+        for task in admitted:
+            reservation = task.result()
+            assert isinstance(reservation, reservation_mod.DecodeReservation)
+            reservation.release()
+        # Released capacity goes to others, again to few at a time.
         for _ in range(300):
             await asyncio.sleep(0.01)
-            most = max(most, group.requests_at(0))
-        assert most <= SLOTS + 2
-        assert sum(task.done() for task in waits) >= 2 * SLOTS - 2
+            max_requests = max(max_requests, group.requests_at(0))
+        assert max_requests <= SLOTS + 2
+        assert sum(task.done() for task in tasks) >= 2 * SLOTS - 2
         group.close()
-        for task in waits:
+        for task in tasks:
             task.cancel()
 
     virtual.run(main())
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,15 +1,8 @@
-"""Endpoints that turn a gateway away and ask it for a time without requests.
-
-Seen: a plain endpoint that asked one gateway for 3 s got up to 30 requests
-from it in that time, and once each second request came there the budget of
-repeats was spent, so that callers were refused while two other endpoints had
-room.  An answer of 503 was taken as "not run" and nothing else: whoever turns
-away within a millisecond has the least under way and looked the best to the
-next request.  Shown by lines of the gateways: all 53 rejected attempts were
-at that endpoint, the last 4.8 s after the first, and 40 of them repeats.
-
-The times asked for are far longer than a test takes, so that it does not
-matter how long that is.
+"""Endpoints that refuse requests and ask for a back-off (503, Retry-After).
+
+A gateway must not keep sending to such an endpoint, although refusing makes it
+the least loaded one, nor spend its retry budget there.  The back-offs are far
+longer than a test takes.
 """
 
 import asyncio
@@ -20,22 +13,22 @@
 from tests import platform_site
 from tests import test_gateway
 
-# What an endpoint asks for, in seconds.
-ASKED = b"30"
-# What an endpoint that leaves adds to its answers.
+# Back-off that an endpoint asks for, in seconds.
+BACKOFF = b"30"
+# Header in the answers of a leaving endpoint.
 LEAVING = [(b"server-leaving", b"1")]
-# More than may be on their way when an endpoint asks for a back-off.
-_MANY = 20
+# More requests than may be in flight when an endpoint asks for a back-off.
+_REQUESTS = 20
 
 
 async def asks(req: message.Request, responder: server.Responder) -> None:
-    """Turn a request away and ask for a time without any."""
-    told = [(b"x-not-executed", b"1"), (b"retry-after", ASKED)]
-    responder.whole(503, told, b"")
+    """Refuse a request and ask for a back-off."""
+    refusal_headers = [(b"x-not-executed", b"1"), (b"retry-after", BACKOFF)]
+    responder.whole(503, refusal_headers, b"")
 
 
-async def ask(
-    site: platform_site.Site, path: str = "/safe/x", count: int = _MANY
+async def send(
+    site: platform_site.Site, path: str = "/safe/x", count: int = _REQUESTS
 ) -> list[bytes]:
     """Send requests one after the other."""
     make = test_gateway.request
@@ -51,8 +44,8 @@
     return {test_gateway.status(one) for one in answers}
 
 
-def come_back_s(answer: bytes) -> float:
-    """When a refused caller is told to come back, in seconds."""
+def retry_after_s(answer: bytes) -> float:
+    """Return the Retry-After of a refused request, in seconds."""
     head = answer.split(b"\r\n\r\n")[0]
     for line in head.split(b"\r\n"):
         name, _, value = line.partition(b":")
@@ -61,54 +54,54 @@
     raise AssertionError("no time to come back")
 
 
-def test_a_plain_endpoint_that_asks_gets_nothing_more(
+def test_a_plain_endpoint_in_backoff_gets_no_requests(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             site.plain[0].answer = asks
-            assert statuses(await ask(site)) == {200}
+            assert statuses(await send(site)) == {200}
             assert len(site.plain[0].requests) <= 1
-            assert statuses(await ask(site, "/unsafe/x")) == {200}
+            assert statuses(await send(site, "/unsafe/x")) == {200}
             assert len(site.plain[0].requests) <= 1
 
     asyncio.run(main())
 
 
-def test_where_all_ask_callers_are_told_at_once_when_one_is_free(
+def test_callers_are_refused_at_once_while_all_endpoints_back_off(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Each was asked again by every caller, until repeats ran out."""
+    """No caller may spend retries on endpoints known to back off."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             for endpoint in site.plain:
                 endpoint.answer = asks
-            answers = await ask(site)
+            answers = await send(site)
             assert statuses(answers) == {503}
             assert [len(one.requests) for one in site.plain] == [1, 1]
-            assert all(come_back_s(one) > 25.0 for one in answers)
+            assert all(retry_after_s(one) > 25.0 for one in answers)
 
     asyncio.run(main())
 
 
-def test_what_waits_for_a_connection_is_not_sent_there(
+def test_a_request_that_waits_for_a_connection_respects_the_backoff(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Chosen before the endpoint asked, and not yet written."""
+    """The endpoint was chosen before it asked for the back-off."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             go_on = asyncio.Event()
 
-            async def asks_later(
+            async def back_off_later(
                 req: message.Request, responder: server.Responder
             ) -> None:
                 await go_on.wait()
                 await asks(req, responder)
 
-            # All choose the one that is there; one connection is open.
-            site.plain[0].answer = asks_later
+            # One endpoint and one connection for all requests.
+            site.plain[0].answer = back_off_later
             assert await site.operator.leave(11, site.plain[1]) == 200
             table = site.gateway.site.table
             await platform_site.until(lambda: len(table.alive) == 4)
@@ -130,78 +123,78 @@
     asyncio.run(main())
 
 
-def test_where_all_prefill_endpoints_ask_prompts_are_read_in_place(
+def test_prompts_are_prefilled_in_place_while_all_prefill_endpoints_back_off(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             site.prefill.answer = asks
-            assert statuses(await ask(site, "/gen/x", 6)) == {200}
+            assert statuses(await send(site, "/gen/x", 6)) == {200}
             assert len(site.prefill.requests) == 1
 
     asyncio.run(main())
 
 
-def test_where_all_decode_endpoints_ask_nobody_waits_for_nothing(
+def test_generations_are_refused_at_once_while_all_decode_endpoints_back_off(
     tmp_path: pathlib.Path,
 ) -> None:
-    """They waited until nothing could be served, prompts were read."""
+    """Requests must not wait until they time out, nor be prefilled."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             for endpoint in site.decode:
                 endpoint.answer = asks
-            answers = await ask(site, "/gen/x", 6)
+            answers = await send(site, "/gen/x", 6)
             assert statuses(answers) == {503}
             assert [len(one.requests) for one in site.decode] == [1, 1]
-            reads = [
+            prefills = [
                 req
                 for req in site.prefill.requests
                 if message.find(req.headers, b"x-serving-stage")
             ]
-            assert len(reads) <= 2
-            assert all(come_back_s(one) > 25.0 for one in answers)
+            assert len(prefills) <= 2
+            assert all(retry_after_s(one) > 25.0 for one in answers)
 
     asyncio.run(main())
 
 
-def test_nothing_that_was_read_is_freed_at_one_that_asks(
+def test_an_unused_prefill_result_is_not_freed_during_a_backoff(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A result that no decode takes lapses by itself."""
+    """An unused prefill result expires; no request must be sent to free it."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            has_asked = asyncio.Event()
+            has_backed_off = asyncio.Event()
 
-            async def reads_once(
+            async def prefill_once(
                 req: message.Request, responder: server.Responder
             ) -> None:
-                site.prefill.answer = asks_and_tells
+                site.prefill.answer = back_off_and_signal
                 await site.prefill.default_answer(req, responder)
 
-            async def asks_and_tells(
+            async def back_off_and_signal(
                 req: message.Request, responder: server.Responder
             ) -> None:
                 await asks(req, responder)
-                has_asked.set()
+                has_backed_off.set()
 
-            async def asks_after(
+            async def back_off_afterwards(
                 req: message.Request, responder: server.Responder
             ) -> None:
-                await has_asked.wait()
+                await has_backed_off.wait()
                 await asks(req, responder)
 
-            site.prefill.answer = reads_once
+            site.prefill.answer = prefill_once
             for endpoint in site.decode:
-                endpoint.answer = asks_after
+                endpoint.answer = back_off_afterwards
             first = asyncio.create_task(site.raw(test_gateway.generation()))
             await platform_site.until(
                 lambda: any(one.requests for one in site.decode)
             )
             second = await site.raw(test_gateway.generation(ident="r2"))
             assert statuses([await first, second]) == {503}
-            # One read, one turned away; nothing else after that.
+            # One prefill, one refusal; nothing else after that.
             assert [req.method for req in site.prefill.requests] == [
                 b"POST",
                 b"POST",
@@ -210,10 +203,10 @@
     asyncio.run(main())
 
 
-def test_an_answer_that_says_leaving_is_the_last_word(
+def test_heartbeats_do_not_undo_an_answer_that_announces_leaving(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Heartbeats that still say ready, and come later, change nothing."""
+    """Later heartbeats with the state ready must not undo it."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -224,33 +217,33 @@
                 ("/gen/x", site.decode[0]),
             ):
                 while not one.requests:
-                    await ask(site, path, 1)
+                    await send(site, path, 1)
                 assert await site.operator.send_heartbeat(11, one) == 200
                 table = site.gateway.site.table
-                heard = table.last_heartbeat_at[one.ident]
+                before = table.last_heartbeat_at[one.ident]
                 await platform_site.until(
-                    lambda: table.last_heartbeat_at[one.ident] > heard
+                    lambda: table.last_heartbeat_at[one.ident] > before
                 )
-                seen = len(one.requests)
-                assert statuses(await ask(site, path)) == {200}
-                assert len(one.requests) == seen
+                requests_before = len(one.requests)
+                assert statuses(await send(site, path)) == {200}
+                assert len(one.requests) == requests_before
 
     asyncio.run(main())
 
 
-def test_a_prefill_endpoint_that_leaves_reads_nothing_more(
+def test_a_leaving_prefill_endpoint_gets_no_prompts(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             site.prefill.extra_headers = LEAVING
-            assert statuses(await ask(site, "/gen/x", 4)) == {200}
+            assert statuses(await send(site, "/gen/x", 4)) == {200}
             assert len(site.prefill.requests) == 1
 
     asyncio.run(main())
 
 
-def test_a_new_life_at_the_address_is_asked_again(
+def test_a_restarted_endpoint_gets_requests_again(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -258,51 +251,56 @@
             one, other = site.plain
             one.answer = asks
             other.answer = asks
-            assert statuses(await ask(site, count=2)) == {503}
-            # It starts again: another id at the same address.
+            assert statuses(await send(site, count=2)) == {503}
+            # It restarts: another id at the same address.
             one.ident, one.sequence, one.answer = "p9", 0, one.default_answer
             assert await site.operator.send_heartbeat(11, one) == 200
             table = site.gateway.site.table
             await platform_site.until(lambda: "p9" in table.alive)
-            assert statuses(await ask(site, count=3)) == {200}
+            assert statuses(await send(site, count=3)) == {200}
             assert len(other.requests) == 1
 
     asyncio.run(main())
 
 
-def test_who_can_still_be_served_waits_for_the_end_of_a_backoff(
+def test_requests_with_time_left_wait_for_the_end_of_a_backoff(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A refusal would bring its caller back to the same endpoints."""
+    """A refused caller would only return to the same endpoints."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
 
-            def asks_once(one: platform_site.Endpoint) -> platform_site.Answer:
+            def back_off_once(
+                one: platform_site.Endpoint,
+            ) -> platform_site.Answer:
                 async def answer(
                     req: message.Request, responder: server.Responder
                 ) -> None:
                     one.answer = one.default_answer
-                    told = [(b"x-not-executed", b"1"), (b"retry-after", b"1")]
-                    responder.whole(503, told, b"")
+                    refusal_headers = [
+                        (b"x-not-executed", b"1"),
+                        (b"retry-after", b"1"),
+                    ]
+                    responder.whole(503, refusal_headers, b"")
 
                 return answer
 
             for endpoint in [*site.plain, *site.decode]:
-                endpoint.answer = asks_once(endpoint)
+                endpoint.answer = back_off_once(endpoint)
             paths = ["/safe/x"] * 8 + ["/gen/x"] * 4
             answers = await asyncio.gather(
-                *(ask(site, path, 1) for path in paths)
+                *(send(site, path, 1) for path in paths)
             )
             assert {test_gateway.status(one[0]) for one in answers} == {200}
 
     asyncio.run(main())
 
 
-def test_other_gateways_are_told_and_prefer_others(
+def test_other_gateways_learn_of_a_backoff(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Each gateway found out by itself, with a repeat of its own."""
+    """Without the report each gateway would spend a retry of its own."""
 
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
@@ -311,7 +309,7 @@
                 one = site.plain[0]
                 one.answer = asks
                 while not one.requests:
-                    await site.ask(here, "/safe/x", b"")
+                    await site.send(here, "/safe/x", b"")
                 other = site.gateways[there].site
                 await platform_site.until(
                     lambda: other.health.has_reported_backoff(
@@ -319,7 +317,7 @@
                     )
                 )
                 answers = [
-                    await site.ask(there, "/safe/x", b"") for _ in range(10)
+                    await site.send(there, "/safe/x", b"") for _ in range(10)
                 ]
                 assert statuses(answers) == {200}
                 assert len(one.requests) == 1
--- a/tests/test_backoff_soak.py
+++ b/tests/test_backoff_soak.py
@@ -1,11 +1,8 @@
-"""Endpoints that ask for back-offs, leave and start again, under callers.
+"""Random back-offs, departures, failures and restarts under load.
 
-Two gateways are asked all the time; endpoints turn requests away and ask for
-some time, say in answers that they leave while their heartbeats say ready,
-fail, answer slowly and start again under new ids, and meanwhile gateways and
-the coordinator are restarted.  What arrives at the endpoints is counted there:
-nothing comes in a time that was asked for, or from a gateway that was told
-that the endpoint leaves, but for what was on its way.
+Two gateways get requests all the time, while gateways and the coordinator
+restart.  The endpoints count the requests that arrive during a back-off or
+after an answer that announced leaving; only requests in flight may.
 
     python -m tests.test_backoff_soak FIRST LAST
 
@@ -26,55 +23,61 @@
 from tests import crashing_site
 from tests import endpoint_soak
 
-# What is on its way may arrive for so long, in seconds, and so many after it.
-_ON_ITS_WAY_S = 0.5
-_MOST_AFTER = 2
+# Requests in flight may arrive for this long, in seconds, and this many after
+# it.
+_IN_FLIGHT_S = 0.5
+_MAX_IN_FLIGHT = 2
 _SECONDS = 12.0
 _SECONDS_IN_CI = 5.0
 
 
-class _Span(NamedTuple):
-    """A gateway was told to send nothing, from one time to another.
+class _QuietTime(NamedTuple):
+    """A time in which a gateway may send an endpoint nothing.
 
-    `gateway` is one life of it: who starts again knows of nothing.
+    `gateway` is one incarnation of it, as a restarted one knows of nothing.
     """
 
-    life: str
+    incarnation: str
     gateway: bytes
     since: float
     until: float
 
 
 class _Arrivals:
-    """What was asked for, and what came all the same."""
+    """Counts the requests that arrive in quiet times."""
 
     def __init__(self) -> None:
-        self._spans: set[_Span] = set()
-        self._came: collections.Counter[_Span] = collections.Counter()
+        self._quiet_times: set[_QuietTime] = set()
+        self._violations: collections.Counter[_QuietTime] = (
+            collections.Counter()
+        )
         self.count = 0
 
-    def told(self, span: _Span) -> None:
-        self._spans.add(span)
+    def forbid(self, quiet_time: _QuietTime) -> None:
+        self._quiet_times.add(quiet_time)
 
-    def arrived(self, life: str, gateway: bytes, now: float) -> list[_Span]:
-        """A request has come; the spans in which it was not wanted."""
+    def count_arrival(
+        self, incarnation: str, gateway: bytes, now: float
+    ) -> list[_QuietTime]:
+        """Count a request; return the quiet times that it violates."""
         self.count += 1
-        unwanted = [
-            span
-            for span in self._spans
-            if (span.life, span.gateway) == (life, gateway)
-            and span.since + _ON_ITS_WAY_S <= now < span.until
+        violations = [
+            quiet_time
+            for quiet_time in self._quiet_times
+            if (quiet_time.incarnation, quiet_time.gateway)
+            == (incarnation, gateway)
+            and quiet_time.since + _IN_FLIGHT_S <= now < quiet_time.until
         ]
-        self._came.update(unwanted)
-        return unwanted
+        self._violations.update(violations)
+        return violations
 
     @property
     def worst(self) -> int:
-        return max(self._came.values(), default=0)
+        return max(self._violations.values(), default=0)
 
 
-class _Moody:
-    """An endpoint whose mood changes."""
+class _RandomEndpoint:
+    """An endpoint whose behaviour changes at random."""
 
     def __init__(
         self,
@@ -82,110 +85,120 @@
         endpoint: crashing_site.Endpoint,
         arrivals: _Arrivals,
         rng: random.Random,
-        story: list[str],
+        events: list[str],
     ) -> None:
         self.endpoint = endpoint
-        self._story = story
+        self._events = events
         self._arrivals = arrivals
         self._rng = rng
         self._name = endpoint.ident
-        self._lives = 0
-        self._asks = 0.0
-        self._fails = 0.0
+        self._restarts = 0
+        self._refusal_rate = 0.0
+        self._failure_rate = 0.0
         self._slow_s = 0.0
         endpoint.answer = self._answer
 
     def change(self) -> str:
-        """Another mood; what it is, for the story."""
-        mood = self._rng.choice(("well", "asks", "asks", "leaves", "anew"))
-        self._asks = 0.0
-        self._fails = self._rng.choice((0.0, 0.0, 0.2))
+        """Choose another behaviour; return it for the log of events."""
+        behaviour = self._rng.choice(
+            ("healthy", "backs off", "backs off", "leaves", "restarts")
+        )
+        self._refusal_rate = 0.0
+        self._failure_rate = self._rng.choice((0.0, 0.0, 0.2))
         self._slow_s = self._rng.choice((0.0, 0.05, 0.2))
-        if mood == "asks":
-            self._asks = self._rng.choice((0.3, 1.0, 1.0))
-        elif mood == "leaves":
+        if behaviour == "backs off":
+            self._refusal_rate = self._rng.choice((0.3, 1.0, 1.0))
+        elif behaviour == "leaves":
             self.endpoint.extra_headers = [(b"server-leaving", b"1")]
-        elif mood == "anew":
-            self._lives += 1
-            self.endpoint.ident = f"{self._name}-{self._lives}"
+        elif behaviour == "restarts":
+            self._restarts += 1
+            self.endpoint.ident = f"{self._name}-{self._restarts}"
             self.endpoint.sequence = 0
             self.endpoint.extra_headers = []
-        return f"{self.endpoint.ident} {mood}"
+        return f"{self.endpoint.ident} {behaviour}"
 
     async def _answer(
         self, req: message.Request, responder: server.Responder
     ) -> None:
-        life = self.endpoint.ident
+        incarnation = self.endpoint.ident
         gateway = message.find(req.headers, endpoint_soak.VIA)
         if gateway is None:
-            # A handle is freed; nothing tells by whom.
+            # A prefill result is freed; the header of the sender is missing.
             await self.endpoint.default_answer(req, responder)
             return
         now = asyncio.get_running_loop().time()
-        for span in self._arrivals.arrived(life, gateway, now):
-            age_s = now - span.since
-            self._story.append(f"unwanted after {age_s:.2f} s: {span}")
-        if self._rng.random() < self._asks:
-            self._turn_away(responder, life, gateway)
+        for quiet_time in self._arrivals.count_arrival(
+            incarnation, gateway, now
+        ):
+            age_s = now - quiet_time.since
+            self._events.append(f"unwanted after {age_s:.2f} s: {quiet_time}")
+        if self._rng.random() < self._refusal_rate:
+            self._refuse(responder, incarnation, gateway)
             return
         if self._slow_s:
             await asyncio.sleep(self._slow_s * self._rng.random())
-        if self.endpoint.extra_headers and life == self.endpoint.ident:
-            self._told(life, gateway, 1e9)
-        if self._rng.random() < self._fails:
+        if self.endpoint.extra_headers and incarnation == self.endpoint.ident:
+            self._forbid(incarnation, gateway, 1e9)
+        if self._rng.random() < self._failure_rate:
             responder.whole(500, self.endpoint.extra_headers, b"")
             return
         await self.endpoint.default_answer(req, responder)
 
-    def _turn_away(
-        self, responder: server.Responder, life: str, gateway: bytes
+    def _refuse(
+        self, responder: server.Responder, incarnation: str, gateway: bytes
     ) -> None:
-        asked_s = self._rng.choice((0.2, 0.8, 1.5, 3.0))
-        self._told(life, gateway, asked_s)
-        told = [
+        backoff_s = self._rng.choice((0.2, 0.8, 1.5, 3.0))
+        self._forbid(incarnation, gateway, backoff_s)
+        refusal_headers = [
             (b"x-not-executed", b"1"),
-            (b"retry-after", b"%.2f" % asked_s),
+            (b"retry-after", b"%.2f" % backoff_s),
         ]
-        responder.whole(503, told + self.endpoint.extra_headers, b"")
+        responder.whole(
+            503, refusal_headers + self.endpoint.extra_headers, b""
+        )
         if self.endpoint.extra_headers:
-            self._told(life, gateway, 1e9)
+            self._forbid(incarnation, gateway, 1e9)
 
-    def _told(self, life: str, gateway: bytes, for_s: float) -> None:
+    def _forbid(self, incarnation: str, gateway: bytes, for_s: float) -> None:
         now = asyncio.get_running_loop().time()
-        self._arrivals.told(_Span(life, gateway, now, now + for_s))
+        self._arrivals.forbid(
+            _QuietTime(incarnation, gateway, now, now + for_s)
+        )
 
 
 class _Soak(endpoint_soak.Soak):
     """One site under one seed."""
 
-    ask_s = 0.04
-    change_s = 0.15
-    restarts = 0.06
+    request_interval_s = 0.04
+    change_interval_s = 0.15
+    restart_share = 0.06
 
     def __init__(self, *, site: crashing_site.Site, seed: int) -> None:
         super().__init__(site=site, seed=seed)
         self._arrivals = _Arrivals()
-        self._moody = [
-            _Moody(
+        self._random_endpoints = [
+            _RandomEndpoint(
                 endpoint=one,
                 arrivals=self._arrivals,
                 rng=self.rng,
-                story=self.story,
+                events=self.events,
             )
             for one in site.endpoints
         ]
 
     def change(self) -> str:
-        return self.rng.choice(self._moody).change()
+        return self.rng.choice(self._random_endpoints).change()
 
     def check(self) -> None:
-        assert self._arrivals.worst <= _MOST_AFTER, self.story
+        assert self._arrivals.worst <= _MAX_IN_FLIGHT, self.events
 
     def report(self) -> str:
-        unwanted = [line for line in self.story if line.startswith("unwanted")]
+        violations = [
+            line for line in self.events if line.startswith("unwanted")
+        ]
         return (
             f"{self._arrivals.count} arrivals, at most "
-            f"{self._arrivals.worst} unwanted {unwanted}"
+            f"{self._arrivals.worst} unwanted {violations}"
         )
 
     async def restart(self, group: asyncio.TaskGroup, number: int) -> None:
@@ -202,7 +215,7 @@
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_nothing_is_sent_that_endpoints_do_not_want(
+def test_endpoints_get_no_requests_while_they_accept_none(
     tmp_path: pathlib.Path, seed: int
 ) -> None:
     asyncio.run(_play(tmp_path, seed, _SECONDS_IN_CI))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,11 +1,7 @@
-"""A request under which each endpoint ends that begins it, and its returns.
-
-Seen: two requests went on to one endpoint after the other, ten and eight of
-which ended, each with some twelve other runs.  Each return had a new id and
-came to any gateway, and a gateway knew the attempts of one call alone, so
-that each was sent as if for the first time.  Shown by the digests of what
-broke: the youngest run on each endpoint was always one of the same two
-requests, on some endpoints the only one.
+"""A request that crashes each endpoint that runs it, and its retries.
+
+Each retry has a new id and may come to any gateway; all gateways together must
+recognise the request and stop sending it after three crashes.
 """
 
 import asyncio
@@ -25,150 +21,156 @@
 from tests import driver
 from tests import platform_site
 
-# Endpoints that may end under one request, and how often it comes.
-_MOST_CRASHES = 3
-_RETURNS = 8
+# Endpoints that may crash under one request, and how often it is sent.
+_MAX_CRASHES = 3
+_SENDS = 8
 
 
-async def _returns(
+async def _send_repeatedly(
     site: crashing_site.Site, path: str, body: bytes
 ) -> list[bytes]:
-    """What a request is answered that comes again and again."""
+    """Send a request again and again; return the answers."""
     found = []
-    for number in range(_RETURNS):
+    for number in range(_SENDS):
         gateway = crashing_site.GATEWAYS[number % 2]
-        found.append(await site.ask(gateway, path, body))
-        await site.is_known()
+        found.append(await site.send(gateway, path, body))
+        await site.wait_until_known()
     return found
 
 
-def test_a_generation_that_ends_endpoints_is_sent_to_three(
+def test_a_generation_that_crashes_endpoints_reaches_three(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
             async with site.powered(first=True):
-                answers = await _returns(site, "/gen/x", b"crash run")
-                assert site.crashes == _MOST_CRASHES
-                # At once, and truly: it has not run, and when to come back.
+                answers = await _send_repeatedly(site, "/gen/x", b"crash run")
+                assert site.crashes == _MAX_CRASHES
+                # Refused at once as not run, with the time to retry.
                 assert all(b" 503 " in one for one in answers[3:])
                 assert all(b"retry-after" in one for one in answers[3:])
-                other = await site.ask(31, "/gen/x", b"another")
+                other = await site.send(31, "/gen/x", b"another")
                 assert b" 200 " in other
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize(("path", "deadly"), [("/gen/x", 1), ("/safe/x", 3)])
-def test_of_many_requests_those_that_end_endpoints_end_three_each(
-    tmp_path: pathlib.Path, path: str, deadly: int
+@pytest.mark.parametrize(("path", "crashing"), [("/gen/x", 1), ("/safe/x", 3)])
+def test_each_crashing_request_crashes_three_endpoints_at_most(
+    tmp_path: pathlib.Path, path: str, crashing: int
 ) -> None:
-    """All the others are served in between, at every gateway."""
+    """All other requests are served in between, at every gateway."""
 
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
             async with site.powered(first=True):
-                bodies = [b"crash run %d" % number for number in range(deadly)]
+                bodies = [
+                    b"crash run %d" % number for number in range(crashing)
+                ]
                 others = []
-                for number in range(_RETURNS):
+                for number in range(_SENDS):
                     gateway = crashing_site.GATEWAYS[number % 2]
                     for body in bodies:
-                        await site.ask(gateway, path, body)
-                        await site.is_known()
+                        await site.send(gateway, path, body)
+                        await site.wait_until_known()
                     others += [
-                        await site.ask(gateway, path, b"another %d" % each)
+                        await site.send(gateway, path, b"another %d" % each)
                         for each in range(6)
                     ]
                 ended = [site.crashes_by(body) for body in bodies]
-                assert ended == [_MOST_CRASHES] * deadly
+                assert ended == [_MAX_CRASHES] * crashing
                 assert all(b" 200 " in one for one in others)
 
     asyncio.run(main())
 
 
-def test_a_plain_request_that_ends_endpoints_is_sent_to_three(
+def test_a_plain_request_that_crashes_endpoints_reaches_three(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Tried again inside, where its route allows it, or by its caller."""
+    """Retried by the gateway, where the route allows it, or by its caller."""
 
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
             async with site.powered(first=True):
-                await _returns(site, "/safe/x", b"crash run")
-                assert site.crashes == _MOST_CRASHES
-                other = await site.ask(31, "/safe/x", b"another")
+                await _send_repeatedly(site, "/safe/x", b"crash run")
+                assert site.crashes == _MAX_CRASHES
+                other = await site.send(31, "/safe/x", b"another")
                 assert b" 200 " in other
 
     asyncio.run(main())
 
 
-def test_a_prompt_that_ends_its_readers_is_read_by_three(
+def test_a_prompt_that_crashes_prefill_endpoints_reaches_three(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Though it is answered, by endpoints that read it themselves."""
+    """It is answered nevertheless, after a prefill in place."""
 
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
             async with site.powered(first=True):
-                answers = await _returns(site, "/gen/x", b"crash reader")
+                answers = await _send_repeatedly(
+                    site, "/gen/x", b"crash reader"
+                )
                 assert b" 200 " in answers[0]
-                assert site.crashes == _MOST_CRASHES
+                assert site.crashes == _MAX_CRASHES
 
     asyncio.run(main())
 
 
-def test_a_broken_stream_that_is_taken_up_is_the_same_request(
+def test_a_resumed_stream_is_recognised_as_the_same_request(
     tmp_path: pathlib.Path,
 ) -> None:
-    """It names the event to go on after, and comes on a repeatable route."""
+    """A resumed stream names its last event and uses a repeatable route."""
 
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
             async with site.powered(first=True):
-                for number in range(_RETURNS):
+                for number in range(_SENDS):
                     gateway = crashing_site.GATEWAYS[number % 2]
                     more = f"Last-Event-Id: {number}\r\n"
-                    await site.ask(gateway, "/res/x", b"crash run", more)
-                    await site.is_known()
-                assert site.crashes == _MOST_CRASHES
+                    await site.send(gateway, "/res/x", b"crash run", more)
+                    await site.wait_until_known()
+                assert site.crashes == _MAX_CRASHES
 
     asyncio.run(main())
 
 
-def test_who_ran_beside_it_is_served_when_it_comes_again(
+def test_requests_that_ran_beside_a_crashing_one_are_served_again(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
             async with site.powered(first=True):
-                for number in range(_MOST_CRASHES):
+                for number in range(_MAX_CRASHES):
                     gateway = crashing_site.GATEWAYS[number % 2]
                     beside = [
                         asyncio.create_task(
-                            site.ask(gateway, "/gen/y", b"slow %d" % n)
+                            site.send(gateway, "/gen/y", b"slow %d" % n)
                         )
                         for n in range(6)
                     ]
-                    await site.runs(len(beside))
-                    await site.ask(gateway, "/gen/x", b"crash run")
+                    await site.wait_until_running(len(beside))
+                    await site.send(gateway, "/gen/x", b"crash run")
                     for task in beside:
                         task.cancel()
-                    await site.runs(0)
-                    await site.is_known()
-                assert site.crashes == _MOST_CRASHES
-                held = [
+                    await site.wait_until_running(0)
+                    await site.wait_until_known()
+                assert site.crashes == _MAX_CRASHES
+                quarantined = [
                     item.request
-                    for item in site.core_books()[0].quarantined(site.now())
+                    for item in site.quarantine_tables()[0].quarantined(
+                        site.now()
+                    )
                 ]
-                assert len(held) == 1
-                refused = await site.ask(31, "/gen/x", b"crash run")
+                assert len(quarantined) == 1
+                refused = await site.send(31, "/gen/x", b"crash run")
                 assert b" 503 " in refused
 
     asyncio.run(main())
 
 
 async def _unframed(req: message.Request, responder: server.Responder) -> None:
-    """A sound answer, without a length, that ends with its connection."""
+    """Answer without a length: the answer ends with the connection."""
     responder._conn.closing = True
     responder.bare(200, platform_site.vouching_headers(req))
     responder._conn.write(b"whole, or not")
@@ -178,7 +180,7 @@
 def test_an_answer_that_ends_with_its_connection_clears_nothing(
     tmp_path: pathlib.Path, framed: bool
 ) -> None:
-    """Without a length, the end of its endpoint looks like its own."""
+    """Without a length, a crash looks like the end of the answer."""
 
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
@@ -186,40 +188,42 @@
                 if not framed:
                     for endpoint in site.plain:
                         endpoint.answer = _unframed
-                assert b" 200 " in await site.ask(31, "/safe/x", b"asked")
-                known_by = fingerprint.fingerprint(
+                assert b" 200 " in await site.send(31, "/safe/x", b"asked")
+                fingerprinted = fingerprint.fingerprint(
                     organisation=types.OrganisationName(""),
                     method=b"POST",
                     target=b"/safe/x",
                     body=b"asked",
                 )
-                suspects = site.gateways[31].site.crash_tracker
-                told = [
+                tracker = site.gateways[31].site.crash_tracker
+                suspicions = [
                     quarantine.Suspicion(
-                        request=known_by,
+                        request=fingerprinted,
                         endpoint=types.EndpointId(f"e{number}"),
                     )
                     for number in range(3)
                 ]
-                suspects.receive(told, site.now())
-                is_held = (
-                    suspects.quarantine_left_s(known_by, site.now()) > 0.0
+                tracker.receive(suspicions, site.now())
+                is_quarantined = (
+                    tracker.quarantine_left_s(fingerprinted, site.now()) > 0.0
                 )
-                assert is_held is not framed
+                assert is_quarantined is not framed
 
     asyncio.run(main())
 
 
-def test_an_operator_sees_it_and_lets_it_go(tmp_path: pathlib.Path) -> None:
+def test_an_operator_sees_and_releases_a_quarantined_request(
+    tmp_path: pathlib.Path,
+) -> None:
     async def main() -> None:
         async with crashing_site.site(tmp_path) as site:
             async with site.powered(first=True):
-                await _returns(site, "/gen/x", b"crash run")
-                held = await site.held()
-                assert len(held) == 1
-                assert await site.release(held[0]) == 200
-                assert await site.held() == []
-                assert await site.release(held[0]) == 404
+                await _send_repeatedly(site, "/gen/x", b"crash run")
+                quarantined = await site.quarantined()
+                assert len(quarantined) == 1
+                assert await site.release(quarantined[0]) == 200
+                assert await site.quarantined() == []
+                assert await site.release(quarantined[0]) == 404
                 await platform_site.until(
                     lambda: not any(
                         item.site.crash_tracker.quarantine.quarantined(
@@ -228,42 +232,42 @@
                         for item in site.gateways.values()
                     )
                 )
-                await site.ask(31, "/gen/x", b"crash run")
-                assert site.crashes == _MOST_CRASHES + 1
+                await site.send(31, "/gen/x", b"crash run")
+                assert site.crashes == _MAX_CRASHES + 1
 
     asyncio.run(main())
 
 
-def test_it_is_still_known_after_lost_disks_together_with_all_power(
+def test_the_quarantine_survives_two_lost_disks_and_a_power_loss(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Two disks are lost, and all other processes end, gateways too."""
+    """Two disks are lost while all processes stop, gateways too."""
 
     async def main() -> None:
         core = (11, 12, 13, 14, 15)
         async with crashing_site.site(tmp_path, core=core, lost=2) as site:
             async with site.powered(first=True):
-                await _returns(site, "/gen/x", b"crash run")
+                await _send_repeatedly(site, "/gen/x", b"crash run")
                 before = site.crashes
             for number in core[:2]:
-                site.wipe(number)
+                site.lose_disk(number)
             async with site.powered(first=False):
-                await _returns(site, "/gen/x", b"crash run")
-            assert before == site.crashes == _MOST_CRASHES
+                await _send_repeatedly(site, "/gen/x", b"crash run")
+            assert before == site.crashes == _MAX_CRASHES
 
     asyncio.run(main())
 
 
-def test_entries_hold_back_what_ends_engines_too() -> None:
-    """Without sockets: engines end when they begin it, and are back soon."""
-    ended: list[str] = []
+def test_entries_quarantine_requests_that_crash_engines() -> None:
+    """Without sockets: engines crash on a request and restart soon."""
+    crashes: list[str] = []
 
     def make_fatal(engine: object) -> None:
         decode = engine.decode  # type: ignore[attr-defined]
 
         async def fatal(**call: object) -> object:
             if b"fatal" in call["body"]:  # type: ignore[operator]
-                ended.append("one")
+                crashes.append("one")
                 engine.kill()  # type: ignore[attr-defined]
                 loop = asyncio.get_running_loop()
                 loop.call_later(0.5, setattr, engine, "dead", False)
@@ -280,14 +284,14 @@
                 make_fatal(engine)
         entry = site.entries[0]
         await asyncio.sleep(0.1)
-        for number in range(_RETURNS):
-            asked = driver.ask("fatal", words=50)
-            asked = msgspec.structs.replace(
-                asked, req=types.RequestId(f"r{number}")
+        for number in range(_SENDS):
+            request = driver.ask("fatal", words=50)
+            request = msgspec.structs.replace(
+                request, req=types.RequestId(f"r{number}")
             )
-            got = await driver.take(entry, asked)
+            got = await driver.take(entry, request)
             await asyncio.sleep(2.0)
-        assert len(ended) == _MOST_CRASHES
+        assert len(crashes) == _MAX_CRASHES
         assert got.end.reason is types.Refusal.ENDS_ENGINES
         assert got.end.outcome is types.Outcome.NOT_RUN
         other = await driver.take(entry, driver.ask("other", words=50))
--- a/tests/test_crashing_soak.py
+++ b/tests/test_crashing_soak.py
@@ -1,8 +1,8 @@
-"""Requests that end endpoints, while processes end and disks are lost.
+"""Requests that crash endpoints, under restarts, power and disk losses.
 
-Two such requests come again and again, at any gateway; between two returns a
-gateway or a coordinator is restarted, or all power goes, with up to two
-disks.  However these follow, few endpoints end, and others are served.
+Two such requests are sent again and again to any gateway; in between a gateway
+or a coordinator restarts, or all power fails, with up to two disks.  Few
+endpoints may crash, and other requests must be served.
 
     python -m tests.test_crashing_soak FIRST LAST
 
@@ -21,10 +21,10 @@
 
 _CORE = (11, 12, 13, 14, 15)
 _BAD = {b"crash run a": "/gen/x", b"crash run b": "/res/x"}
-_MOST_CRASHES = 3
-# What a loss of all power may cost: the end that was not told yet, and one
-# that stood alone.
-_COST_POWER = 2
+_MAX_CRASHES = 3
+# Further crashes that a loss of all power may cost: one that was not reported
+# yet, and one that stood alone.
+_MAX_CRASHES_PER_POWER_LOSS = 2
 _STEPS = 24
 _STEPS_IN_CI = 10
 
@@ -35,60 +35,60 @@
     def __init__(self, *, site: crashing_site.Site, seed: int) -> None:
         self._site = site
         self._rng = random.Random(seed)
-        self._cost = 0
-        self.story: list[str] = []
+        self._allowance = 0
+        self.events: list[str] = []
 
     async def run(self, steps: int) -> None:
-        """Power goes and comes, with some steps between."""
+        """Lose power several times, with some steps in between."""
         first = True
         left = steps
         while left > 0:
             between = min(left, self._rng.randint(3, 12))
             left -= between
             async with self._site.powered(first=first):
-                await self._site.all_vote()
+                await self._site.wait_until_all_vote()
                 for _ in range(between):
                     await self._step()
             first = False
-            self._cost += _COST_POWER
+            self._allowance += _MAX_CRASHES_PER_POWER_LOSS
             for number in self._rng.sample(_CORE, self._rng.randint(0, 2)):
-                self._site.wipe(number)
-                self.story.append(f"disk of {number} lost with all power")
+                self._site.lose_disk(number)
+                self.events.append(f"disk of {number} lost with all power")
 
     async def _step(self) -> None:
-        chance = self._rng.random()
-        if chance < 0.6:
-            await self._bad_comes()
-        elif chance < 0.75:
+        random_fraction = self._rng.random()
+        if random_fraction < 0.6:
+            await self._send_bad()
+        elif random_fraction < 0.75:
             await self._restart(self._rng.choice(crashing_site.GATEWAYS))
-        elif chance < 0.9:
-            # Not the one that hears the endpoints.
+        elif random_fraction < 0.9:
+            # Not the coordinator that receives the heartbeats.
             await self._restart(self._rng.choice(_CORE[:-1]))
         else:
-            await self._other_comes()
-        await self._site.is_known()
+            await self._send_other()
+        await self._site.wait_until_known()
         self._check()
 
-    async def _bad_comes(self) -> None:
+    async def _send_bad(self) -> None:
         gateway = self._rng.choice(crashing_site.GATEWAYS)
         body, path = self._rng.choice(list(_BAD.items()))
-        self.story.append(f"{body.decode()} at {gateway} {path}")
-        await self._site.ask(gateway, path, body)
+        self.events.append(f"{body.decode()} at {gateway} {path}")
+        await self._site.send(gateway, path, body)
 
-    async def _other_comes(self) -> None:
+    async def _send_other(self) -> None:
         gateway = self._rng.choice(crashing_site.GATEWAYS)
-        answer = await self._site.ask(gateway, "/gen/x", b"another")
-        assert b" 200 " in answer, self.story
+        answer = await self._site.send(gateway, "/gen/x", b"another")
+        assert b" 200 " in answer, self.events
 
     async def _restart(self, number: int) -> None:
-        self.story.append(f"{number} is restarted")
+        self.events.append(f"{number} is restarted")
         await self._site.stop(number)
         await self._site.start(number)
 
     def _check(self) -> None:
         for body in _BAD:
-            most = _MOST_CRASHES + self._cost
-            assert self._site.crashes_by(body) <= most, self.story
+            max_crashes = _MAX_CRASHES + self._allowance
+            assert self._site.crashes_by(body) <= max_crashes, self.events
 
 
 async def _play(root: pathlib.Path, seed: int, steps: int) -> None:
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_few_endpoints_end_whatever_is_lost(
+def test_few_endpoints_crash_whatever_is_lost(
     tmp_path: pathlib.Path, seed: int
 ) -> None:
     asyncio.run(_play(tmp_path, seed, _STEPS_IN_CI))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -45,10 +45,10 @@
     responder.whole(503, [(b"x-not-executed", b"1")], b"")
 
 
-def usual_after(
+def answer_after(
     go_on: asyncio.Event, endpoint: platform_site.Endpoint
 ) -> platform_site.Answer:
-    """The usual answer, but not before an event is set."""
+    """Return the default answer, delayed until an event is set."""
 
     async def answer(
         req: message.Request, responder: server.Responder
@@ -100,8 +100,10 @@
     asyncio.run(main())
 
 
-def test_a_late_second_answer_is_nobodys(tmp_path: pathlib.Path) -> None:
-    """The answer to another id is skipped, the own one passed on."""
+def test_an_answer_to_another_request_is_skipped(
+    tmp_path: pathlib.Path,
+) -> None:
+    """The answer to another id is skipped, the request's own passed on."""
 
     async def crossed(
         req: message.Request, responder: server.Responder
@@ -140,7 +142,7 @@
 def test_a_rejected_request_uses_up_no_attempt(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A route of one attempt refused what one endpoint had rejected."""
+    """A route with one attempt must survive one endpoint's refusal."""
 
     async def main() -> None:
         document = platform_site.document()
@@ -156,7 +158,7 @@
     asyncio.run(main())
 
 
-def test_a_failure_that_promises_nothing_is_not_passed_as_a_promise(
+def test_a_503_without_a_not_run_header_becomes_502(
     tmp_path: pathlib.Path,
 ) -> None:
     async def vague(req: message.Request, responder: server.Responder) -> None:
@@ -222,7 +224,7 @@
     asyncio.run(main())
 
 
-def test_nothing_is_sent_to_an_endpoint_that_leaves(
+def test_a_leaving_endpoint_gets_no_requests(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -237,7 +239,7 @@
             await platform_site.until(
                 lambda: table.alive["p0"].state.value == "draining"
             )
-            # A late heartbeat from before does not bring it back.
+            # A late heartbeat from before must not bring it back.
             leaving.sequence = late["sequence"] - 1
             await site.operator.send_heartbeat(11, leaving)
             for number in range(6):
@@ -255,7 +257,7 @@
     asyncio.run(main())
 
 
-def test_a_request_is_ended_at_its_routes_time(
+def test_a_request_ends_at_its_routes_timeout(
     tmp_path: pathlib.Path,
 ) -> None:
     async def silent(
@@ -275,7 +277,7 @@
     asyncio.run(main())
 
 
-def test_a_client_that_leaves_frees_its_endpoint(
+def test_a_disconnected_client_frees_its_endpoint(
     tmp_path: pathlib.Path,
 ) -> None:
     left = asyncio.Event()
--- a/tests/test_gateway_fields.py
+++ b/tests/test_gateway_fields.py
@@ -1,4 +1,4 @@
-"""What only the site may set never reaches an endpoint from a client."""
+"""Headers that only the site may set never reach an endpoint from a client."""
 
 import asyncio
 import pathlib
@@ -11,9 +11,9 @@
 from tests import test_gateway
 from tests import test_gateway_streams
 
-# All fields by which an endpoint is told how to run a request, with a value
-# as a client would smuggle it in.
-ONLY_THE_SITE_SETS = {
+# All headers that tell an endpoint how to run a request, with a value that a
+# client might send.
+RESERVED = {
     b"x-deadline-ms": b"999999",
     b"x-expect-instance": b"somebody",
     b"x-serving-stage": b"decode",
@@ -27,51 +27,51 @@
 }
 
 
-def smuggled() -> str:
-    """Those fields as a client sends them."""
-    lines = ONLY_THE_SITE_SETS.items()
+def reserved_lines() -> str:
+    """Return those headers as a client would send them."""
+    lines = RESERVED.items()
     return "".join(
         f"{name.decode().title()}: {value.decode()}\r\n"
         for name, value in lines
     )
 
 
-def assert_nothing_smuggled(site: platform_site.Site, most: int) -> None:
-    """No endpoint saw a client's value; at least `most` requests came."""
+def assert_none_forwarded(site: platform_site.Site, min_requests: int) -> None:
+    """Assert that requests came, and none with a client's value."""
     seen = [req for one in site.endpoints for req in one.requests]
-    assert len(seen) >= most
+    assert len(seen) >= min_requests
     for req in seen:
-        for name, value in ONLY_THE_SITE_SETS.items():
+        for name, value in RESERVED.items():
             got = [item[1] for item in req.headers if item[0] == name]
             assert value not in got, name
             assert len(got) <= 1, name
 
 
-def test_the_list_of_what_only_the_site_sets_is_whole() -> None:
-    assert headers.GATEWAY_ONLY == frozenset(ONLY_THE_SITE_SETS)
+def test_the_list_of_reserved_headers_is_complete() -> None:
+    assert headers.GATEWAY_ONLY == frozenset(RESERVED)
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/unsafe/x", "/gen/x", "/res/x"])
-def test_what_only_the_site_sets_is_taken_from_clients(
+def test_reserved_headers_of_clients_are_removed(
     tmp_path: pathlib.Path, path: str
 ) -> None:
-    """On plain requests, and on both halves of generations."""
+    """For plain requests, prefills and decodes."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             got = await site.raw(
-                test_gateway.generation(path, more=smuggled())
+                test_gateway.generation(path, more=reserved_lines())
             )
             assert test_gateway.status(got) == 200
-            assert_nothing_smuggled(site, 1)
+            assert_none_forwarded(site, 1)
 
     asyncio.run(main())
 
 
-def test_what_only_the_site_sets_is_taken_from_second_attempts(
+def test_reserved_headers_are_removed_from_retries(
     tmp_path: pathlib.Path,
 ) -> None:
-    """After a rejection, in place, and where a stream goes on elsewhere."""
+    """After a refusal, in place, and when a stream is resumed elsewhere."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -79,21 +79,25 @@
                 one.answer = test_gateway.shed
             broken = test_gateway_streams.all_break_off(site)
             got = await site.raw(
-                test_gateway.generation("/res/x", more=smuggled())
+                test_gateway.generation("/res/x", more=reserved_lines())
             )
             assert test_gateway.status(got) == 200
             assert len(broken) == 1
-            await site.raw(test_gateway.request("/safe/x", more=smuggled()))
-            # Two plain sends, a prefill and both halves of the stream.
-            assert_nothing_smuggled(site, 5)
+            await site.raw(
+                test_gateway.request("/safe/x", more=reserved_lines())
+            )
+            # Two plain sends, a prefill and both attempts of the stream.
+            assert_none_forwarded(site, 5)
 
     asyncio.run(main())
 
 
-def test_a_prefills_source_is_the_sites_own(tmp_path: pathlib.Path) -> None:
+def test_the_kv_source_is_set_by_the_gateway(tmp_path: pathlib.Path) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            got = await site.raw(test_gateway.generation(more=smuggled()))
+            got = await site.raw(
+                test_gateway.generation(more=reserved_lines())
+            )
             assert test_gateway.status(got) == 200
             run = [req for one in site.decode for req in one.requests]
             assert len(run) == 1
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -1,4 +1,4 @@
-"""A gateway and its callers' keys: who is served, and what is passed on."""
+"""Callers' keys at a gateway: who is served, and which headers pass."""
 
 import asyncio
 import pathlib
@@ -11,17 +11,17 @@
 from tests import test_gateway
 from tests import test_keys
 
-_PUBLIC = "/public/x"
+_PUBLIC_PATH = "/public/x"
 
 
-def document(version: int, *held: dict) -> dict:
-    """The usual document with organisations and a public route."""
+def document(version: int, *organisations: dict) -> dict:
+    """Return the default document with organisations and a public route."""
     doc = platform_site.document(version)
     public = dict(
         doc["routes"][0], name="public", pathPrefix="/public/", public=True
     )
     doc["routes"].append(public)
-    doc["tenants"] = list(held)
+    doc["tenants"] = list(organisations)
     return doc
 
 
@@ -36,7 +36,7 @@
 
 
 def kept_open(path: str, shown: str) -> bytes:
-    """A request with a key that leaves its connection open."""
+    """Return a request with a key that keeps its connection open."""
     data = test_gateway.request(path, more=key(shown))
     return data.replace(b"Connection: close\r\n", b"")
 
@@ -45,27 +45,27 @@
     return [req for one in site.endpoints for req in one.requests]
 
 
-def test_only_known_keys_are_served_but_on_public_routes(
+def test_non_public_routes_need_a_known_key(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             doc = document(2, test_keys.organisation("nord", "k1", "k2"))
             await set_document(site, doc)
-            for path, more, wanted in (
+            for path, more, expected_status in (
                 ("/safe/x", "", 401),
                 ("/safe/x", key("k3"), 401),
                 ("/safe/x", key("k1") + key("k2"), 401),
                 ("/nowhere/x", "", 404),
             ):
                 got = await site.raw(test_gateway.request(path, more=more))
-                assert test_gateway.status(got) == wanted
+                assert test_gateway.status(got) == expected_status
             assert not seen(site)
             for path, more in (
                 ("/safe/x", key("k1")),
                 ("/gen/x", key("k2")),
-                (_PUBLIC, ""),
-                (_PUBLIC, key("k3")),
+                (_PUBLIC_PATH, ""),
+                (_PUBLIC_PATH, key("k3")),
             ):
                 got = await site.raw(test_gateway.request(path, more=more))
                 assert test_gateway.status(got) == 200
@@ -73,10 +73,10 @@
     asyncio.run(main())
 
 
-def test_endpoints_are_told_whose_it_is_and_never_the_key(
+def test_endpoints_get_the_organisation_and_never_the_key(
     tmp_path: pathlib.Path,
 ) -> None:
-    """In plain requests, first readings and decodes, whoever says what."""
+    """In plain requests, prefills and decodes, whatever the client sends."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -96,7 +96,7 @@
             for one in site.endpoints:
                 one.requests.clear()
             more = key("k3") + "X-Tenant-Id: other\r\n"
-            await site.raw(test_gateway.request(_PUBLIC, more=more))
+            await site.raw(test_gateway.request(_PUBLIC_PATH, more=more))
             (req,) = seen(site)
             assert message.find(req.headers, b"x-tenant-id") is None
             assert message.find(req.headers, b"authorization") is None
@@ -104,21 +104,21 @@
     asyncio.run(main())
 
 
-def test_a_key_that_was_revoked_is_refused_on_an_open_connection(
+def test_a_revoked_key_is_refused_on_an_open_connection(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            held = test_keys.organisation("nord", "k1", "k2")
-            await set_document(site, document(2, held))
+            organisation = test_keys.organisation("nord", "k1", "k2")
+            await set_document(site, document(2, organisation))
             reader, writer = await asyncio.open_connection(
                 *site.plan.front(31)
             )
             data = kept_open("/safe/x", "k1")
             writer.write(data)
             assert b" 200 " in await reader.readuntil(b"\r\n")
-            held = test_keys.organisation("nord", "k2")
-            await set_document(site, document(3, held))
+            organisation = test_keys.organisation("nord", "k2")
+            await set_document(site, document(3, organisation))
             await reader.readuntil(b"from ")
             writer.write(data)
             assert b" 401 " in await reader.readuntil(b"\r\n")
@@ -127,38 +127,38 @@
     asyncio.run(main())
 
 
-def test_a_request_whose_key_is_revoked_is_not_tried_again(
+def test_a_request_with_a_revoked_key_is_not_retried(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Its first attempt was not run; the second would be on no key."""
+    """Its first attempt was not run; a retry would use a revoked key."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            held = test_keys.organisation("nord", "k1")
-            await set_document(site, document(2, held))
+            organisation = test_keys.organisation("nord", "k1")
+            await set_document(site, document(2, organisation))
             arrived = asyncio.Event()
             go_on = asyncio.Event()
 
-            async def held_up(
+            async def delayed_refusal(
                 req: message.Request, responder: server.Responder
             ) -> None:
                 arrived.set()
                 await go_on.wait()
                 await test_gateway.shed(req, responder)
 
-            test_gateway.all_answer(site, held_up)
+            test_gateway.all_answer(site, delayed_refusal)
             data = test_gateway.request("/unsafe/x", more=key("k1"))
-            asked = asyncio.create_task(site.raw(data))
+            pending = asyncio.create_task(site.raw(data))
             await arrived.wait()
             await set_document(site, document(3))
             go_on.set()
-            assert test_gateway.status(await asked) == 401
+            assert test_gateway.status(await pending) == 401
             assert len(seen(site)) == 1
 
     asyncio.run(main())
 
 
-def test_without_organisations_headers_pass_as_before(
+def test_without_organisations_key_headers_pass_unchanged(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -172,22 +172,22 @@
     asyncio.run(main())
 
 
-def test_a_storm_of_bad_keys_is_logged_once_a_second_and_counted() -> None:
+def test_many_bad_keys_are_logged_once_a_second_and_counted() -> None:
     storm = logs.Storm(pause_s=1.0)
     passed = [storm.passes(0.001 * at) for at in range(3000)]
-    told = [more for more in passed if more is not None]
-    assert len(told) == 3
-    assert told[0] == 0
-    assert sum(told) + len(told) > 1990
+    counts = [more for more in passed if more is not None]
+    assert len(counts) == 3
+    assert counts[0] == 0
+    assert sum(counts) + len(counts) > 1990
 
 
-def test_who_tries_keys_keeps_its_connection_and_reaches_nobody(
+def test_bad_keys_keep_the_connection_and_reach_no_endpoint(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            held = test_keys.organisation("nord", "k1")
-            await set_document(site, document(2, held))
+            organisation = test_keys.organisation("nord", "k1")
+            await set_document(site, document(2, organisation))
             reader, writer = await asyncio.open_connection(
                 *site.plan.front(31)
             )
--- a/tests/test_gateway_prompts.py
+++ b/tests/test_gateway_prompts.py
@@ -1,4 +1,4 @@
-"""Where a gateway has prompts read, and where it gives up."""
+"""Where a gateway has prompts prefilled, and when it gives up."""
 
 import asyncio
 import pathlib
@@ -9,7 +9,7 @@
 from tests import test_gateway
 
 
-def test_a_prompt_is_not_read_without_room_to_decode(
+def test_a_prompt_is_not_prefilled_without_decode_capacity(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -25,7 +25,7 @@
     asyncio.run(main())
 
 
-def test_a_prompt_is_read_in_place_when_no_prefill_endpoint_answers(
+def test_a_prompt_is_prefilled_in_place_when_no_prefill_endpoint_answers(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -39,17 +39,17 @@
     asyncio.run(main())
 
 
-def test_prompts_that_prefill_endpoints_fail_take_turns_in_place(
+def test_prefills_in_place_take_turns(
     tmp_path: pathlib.Path,
 ) -> None:
-    """They were all read at once where others made their tokens."""
+    """Prefills in place must not all run at once beside running streams."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             site.prefill.answer = test_gateway.cut
             go_on = asyncio.Event()
             for one in site.decode:
-                one.answer = test_gateway.usual_after(go_on, one)
+                one.answer = test_gateway.answer_after(go_on, one)
             calls = [
                 asyncio.create_task(
                     site.raw(test_gateway.generation(ident=f"r{number}"))
@@ -59,7 +59,7 @@
             await platform_site.until(
                 lambda: all(one.requests for one in site.decode)
             )
-            # All have been tried at the prefill endpoint by now or wait.
+            # By now each was tried at the prefill endpoint or waits.
             await asyncio.sleep(0.2)
             assert [len(one.requests) for one in site.decode] == [1, 1]
             go_on.set()
@@ -75,7 +75,7 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             site.prefill.answer = test_gateway.shed
-            # Nothing is remembered of the rejections but the budget.
+            # Only the retry budget remembers the refusals.
             site.gateway.site.health.record_rejection = (  # type: ignore
                 lambda endpoint, now: None
             )
@@ -92,21 +92,17 @@
     asyncio.run(main())
 
 
-def test_a_first_reading_needs_no_repeat_while_none_is_turned_away(
+def test_a_first_prefill_needs_no_retry_budget_while_none_is_refused(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Of many gateways each has two repeats in ten seconds.
-
-    With those used up each prompt was read where tokens are made, which
-    made all that ran there pause.
-    """
+    """A used-up retry budget must not force prefills in place."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             gateway = site.gateway.site
             budget = gateway.retry_budget(types.ServiceName("model"))
 
-            async def reads(ident: str) -> int:
+            async def prefills_after_one_more(ident: str) -> int:
                 now = gateway.loop_time()
                 while budget.remaining(now, 1) >= 0.5:
                     budget.record_retry(now)
@@ -116,20 +112,20 @@
                     req.method == b"POST" for req in site.prefill.requests
                 )
 
-            assert await reads("r1") == 1
-            assert await reads("r2") == 2
-            # Another gateway was turned away: it may be so for all.
+            assert await prefills_after_one_more("r1") == 1
+            assert await prefills_after_one_more("r2") == 2
+            # Another gateway was refused, so that this one may be refused too.
             key = types.EndpointId(site.prefill.ident)
             gateway.health.record_reported_full(key, gateway.loop_time() - 1.0)
-            assert await reads("r3") == 2
+            assert await prefills_after_one_more("r3") == 2
 
     asyncio.run(main())
 
 
-def test_few_first_readings_are_unsettled_at_a_time(
+def test_unconfirmed_prefills_beyond_the_retry_budget_are_few(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Nobody knows yet whether the endpoint takes them."""
+    """It is not known yet whether the endpoint accepts them."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
--- a/tests/test_gateway_repeats.py
+++ b/tests/test_gateway_repeats.py
@@ -1,4 +1,4 @@
-"""What gateways send twice, and what they know again: without sockets."""
+"""The retry budget, the memory of refused requests, and retry decisions."""
 
 import itertools
 
@@ -7,7 +7,7 @@
 from rackpost.decide import retry_decision
 
 
-def test_a_request_is_known_again_at_another_gateway() -> None:
+def test_another_gateway_knows_a_refused_request() -> None:
     here, there = (
         recent_refusals.RefusalTable(),
         recent_refusals.RefusalTable(),
@@ -17,7 +17,7 @@
     here.add(key, 1.0)
     there.receive(here.recent(1.1), 1.1)
     assert there.was_refused(key, 2.0)
-    # Told again it still counts from the first time, and soon is no more.
+    # A repeated report does not extend it, and it expires soon.
     there.receive(here.recent(1.9), 1.9)
     assert not there.was_refused(key, 7.2)
     assert here.recent(2.1) == ()
@@ -25,7 +25,7 @@
     assert not here.was_refused(key, 8.0)
 
 
-def test_repeats_of_all_gateways_stay_within_the_sites_budget() -> None:
+def test_retries_of_all_gateways_stay_within_the_sites_budget() -> None:
     gateways = 5
     budgets = [
         retry_budget.RetryBudget(ratio=0.2, slack=56, window_s=10)
@@ -44,8 +44,8 @@
     assert 0 < repeats <= 0.2 * requests + 56
 
 
-def test_a_first_reading_is_refunded_and_a_rejected_one_counts() -> None:
-    """Many prefills sent at once were all rejected: 205 of 187 allowed."""
+def test_a_first_prefill_is_refunded_and_a_refused_one_counts() -> None:
+    """Prefills sent at once that are all refused stay within the budget."""
     budget = retry_budget.RetryBudget(ratio=0.0, slack=10, window_s=10)
     sent = 0
     while budget.allows(0.0, 1):
@@ -57,7 +57,7 @@
     budget.refund(99.0)
 
 
-def test_the_budget_slides() -> None:
+def test_the_budget_is_over_a_sliding_window() -> None:
     budget = retry_budget.RetryBudget(ratio=0.0, slack=10, window_s=10)
     while budget.allows(0.0, 1):
         budget.record_retry(0.0)
@@ -65,7 +65,7 @@
     assert budget.allows(10.1, 1)
 
 
-def test_what_may_not_repeat_is_never_sent_twice_after_it_may_have_run() -> (
+def test_an_unrepeatable_request_is_not_retried_after_it_may_have_run() -> (
     None
 ):
     ends = list(retry_decision.AttemptEnd)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -12,7 +12,7 @@
 def breaks_off(
     one: platform_site.Endpoint, broken: list[str]
 ) -> platform_site.Answer:
-    """A stream that breaks in its second event, unless it is taken up."""
+    """Return a stream that breaks in its second event unless resumed."""
 
     async def stream(
         req: message.Request, responder: server.Responder
@@ -32,14 +32,14 @@
 
 
 def all_break_off(site: platform_site.Site) -> list[str]:
-    """Have all streams break once; the endpoints where they did, as told."""
+    """Let all streams break once; return the list of where they did."""
     broken: list[str] = []
     for one in site.decode:
         one.answer = breaks_off(one, broken)
     return broken
 
 
-def test_a_broken_stream_goes_on_elsewhere_only_if_resumable(
+def test_only_a_resumable_stream_is_resumed(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -57,10 +57,10 @@
     asyncio.run(main())
 
 
-def test_a_broken_stream_goes_on_where_its_kv_cache_is(
+def test_a_broken_stream_is_resumed_where_its_kv_cache_is(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The prompt was read again, and moved, for each broken stream."""
+    """A resumed stream must not cost another prefill and transfer."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -69,15 +69,15 @@
             assert got.endswith(b"0\r\n\r\n")
             ran = [one.ident for one in site.decode for _ in one.requests]
             assert ran == broken * 2
-            reads = [
+            prefills = [
                 req for req in site.prefill.requests if req.method == b"POST"
             ]
-            assert len(reads) == 1
+            assert len(prefills) == 1
 
     asyncio.run(main())
 
 
-def test_a_broken_stream_goes_on_elsewhere_when_its_endpoint_leaves(
+def test_a_broken_stream_is_resumed_elsewhere_when_its_endpoint_leaves(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,11 +1,9 @@
-"""A crowd at a large fleet: 68 gateways give away sixteen endpoints' memory.
-
-The pattern: callers come together at 2.3 times the usual rate for four
-seconds, each with some 5,000 tokens of prompt and 4,400 of answer, whose
-length is known in the median only and is half of it off.  Nine such runs
-fill an endpoint for three seconds, so that twelve that decode carry 36 a
-second at the very most and are asked for 30.  Sizes, paces and spreads are
-those of a model of 120 billion parameters, as its operators published them.
+"""A burst of generations at a large fleet of gateways and endpoints.
+
+68 gateways share sixteen endpoints.  Callers arrive for four seconds at 2.3
+times the usual rate, with prompts of some 5,000 tokens and answers of 4,400
+whose length is only roughly known.  Nine such generations fill an endpoint for
+three seconds; twelve decode endpoints can serve 36 a second and get 30.
 """
 
 import statistics
@@ -21,7 +19,7 @@
 
 
 class Mean:
-    """The mean of some figures over seeds."""
+    """The means of the simulation's figures over the seeds."""
 
     def __init__(self, **spec: float) -> None:
         self._spec = fleet.Spec(**spec)  # type: ignore[arg-type]
@@ -34,12 +32,12 @@
 
     @property
     def in_time_share(self) -> float:
-        """Of those who asked, the part that was answered in time."""
+        """The share of the requests that were answered in time."""
         return self.in_time / self.asked
 
     @property
     def messages_a_second(self) -> float:
-        """Messages that a gateway sends in a second, to each other one."""
+        """Messages a second from one gateway to each other one."""
         return self.messages / self._spec.gateways / self._spec.seconds
 
 
@@ -48,16 +46,16 @@
     return Mean(told_s=load_exchange.batching_delay_s(68))
 
 
-def test_a_crowd_is_answered_in_time(crowd: Mean) -> None:
-    """Six in a hundred were late when no room was kept for wrong guesses."""
+def test_a_burst_is_answered_in_time(crowd: Mean) -> None:
+    """Memory must be reserved for answers longer than estimated."""
     assert crowd.in_time_share > 0.95
     assert crowd.refused < 1
-    # A run that is preempted is read anew, and its neighbours pause.
+    # A preempted generation is prefilled again, which stalls others.
     assert crowd.preempted < 4
     assert crowd.wasted < 35_000
 
 
-def test_room_is_kept_for_guesses_that_are_too_short(
+def test_memory_is_reserved_for_underestimated_answers(
     crowd: Mean, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(kv_forecast, "_CERTAINTY", 0.0)
@@ -66,25 +64,25 @@
     assert crowd.long_pause < 0.7 * without.long_pause
 
 
-def test_figures_are_told_while_they_matter(crowd: Mean) -> None:
-    """Gathered for 54 ms, two gateways took the same room too often."""
+def test_load_reports_are_sent_without_much_delay(crowd: Mean) -> None:
+    """Late load reports let two gateways reserve the same capacity."""
     late = Mean(told_s=0.054)
     assert crowd.long_pause < late.long_pause
-    # Each has few generations, so that this costs few messages.
+    # Each gateway has few generations, so that this costs few messages.
     assert crowd.messages_a_second < 3.0
 
 
-def test_a_crowd_onto_three_quarters_of_the_endpoints() -> None:
-    """More is asked than they carry: late or refused, not read in vain."""
+def test_a_burst_at_three_quarters_of_the_endpoints() -> None:
+    """Under overload requests are late or refused, but prefills not wasted."""
     found = Mean(decodes=9)
     assert found.in_time_share > 0.75
     assert found.wasted < 90_000
     assert found.preempted < 12
 
 
-def test_endpoints_that_prefill_at_leisure_are_missed_in_a_crowd(
+def test_too_many_prefill_endpoints_make_a_burst_late(
     crowd: Mean,
 ) -> None:
-    """Six of sixteen prefilled, half idle, while ten ran out of memory."""
+    """Idle prefill endpoints must not leave too little decode memory."""
     found = Mean(prefills=6, decodes=10)
     assert found.in_time_share < crowd.in_time_share - 0.05
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Parts of a gateway that can be left out, to compare."""
+"""Parts of the routing decisions that can be switched off."""
 
 import asyncio
 import os
@@ -18,7 +18,7 @@
 from tests import test_gateway
 
 
-def test_all_parts_are_on_unless_a_variable_says_no() -> None:
+def test_all_parts_are_on_by_default() -> None:
     assert policy.from_environment({}) == policy.Policy()
     found = policy.from_environment(
         {policy.SPLIT_VARIABLE: "no", policy.SHARE_VARIABLE: "yes"}
@@ -26,18 +26,20 @@
     assert not found.split and found.share
 
 
-def test_a_bad_word_names_its_variable() -> None:
+def test_the_error_for_a_bad_value_names_the_variable() -> None:
     with pytest.raises(exceptions.ConfigError) as caught:
         policy.from_environment({policy.SHARE_VARIABLE: "off"})
     assert policy.SHARE_VARIABLE in str(caught.value)
 
 
-def test_without_the_split_prompts_are_read_in_place(
+def test_without_the_split_prompts_are_prefilled_in_place(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
-        left_out = policy.Policy(split=False)
-        async with platform_site.small_site(tmp_path, policy=left_out) as site:
+        without_split = policy.Policy(split=False)
+        async with platform_site.small_site(
+            tmp_path, policy=without_split
+        ) as site:
             got = await site.raw(test_gateway.generation())
             assert test_gateway.status(got) == 200
             assert not site.prefill.requests
@@ -46,8 +48,10 @@
     asyncio.run(main())
 
 
-def test_without_sharing_no_figures_are_sent(tmp_path: pathlib.Path) -> None:
-    class Sent:
+def test_without_sharing_no_load_reports_are_sent(
+    tmp_path: pathlib.Path,
+) -> None:
+    class DatagramCounter:
         """Counts datagrams."""
 
         def __init__(self) -> None:
@@ -65,17 +69,17 @@
             vm=types.VmId("g2"), load_address="h:1"
         )
         site.set_gateways([other])
-        telling = load_exchange.LoadExchange(site=site)
-        found = Sent()
-        telling._transport = found  # type: ignore[assignment]
-        telling._send()
+        exchange = load_exchange.LoadExchange(site=site)
+        found = DatagramCounter()
+        exchange._transport = found  # type: ignore[assignment]
+        exchange._send()
         return found.count
 
     assert asyncio.run(sent(True)) == 1
     assert asyncio.run(sent(False)) == 0
 
 
-def test_a_bad_variable_ends_the_program_with_one_line() -> None:
+def test_a_bad_value_ends_the_program_with_one_line() -> None:
     env = {**os.environ, policy.SPLIT_VARIABLE: "maybe"}
     done = subprocess.run(
         [sys.executable, "-m", "rackpost.cmd_gateway"],
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop, and what a gateway keeps through it."""
+"""A planned stop of a gateway, and its state at start and stop."""
 
 import asyncio
 import json
@@ -24,24 +24,24 @@
 from tests import test_gateway
 
 
-def close_late(site: site_mod.Site, *, left_s: float) -> None:
-    """A planned stop is so far that it ends in `left_s` seconds."""
-    site.planned_stop.begin(site.loop_time() + left_s)
+def stop_late(site: site_mod.Site, *, remaining_s: float) -> None:
+    """Put a planned stop into its last `remaining_s` seconds."""
+    site.planned_stop.begin(site.loop_time() + remaining_s)
     site.planned_stop.restrict()
 
 
 def hinted(tokens: int) -> bytes:
-    """A generation of a length that its client guesses."""
+    """Return a generation with the client's estimate of its length."""
     return test_gateway.generation(more=f"X-Length-Hint: {tokens}\r\n")
 
 
 def alone(root: pathlib.Path) -> site_mod.Site:
-    """What a gateway knows that is linked to nobody."""
+    """Return the state of a gateway without links."""
     plan = platform_site.Plan(root=root)
     return site_mod.Site(host=plan.host(31, kind="edge"))
 
 
-def test_a_planned_stop_ends_what_runs_and_is_not_ready_at_once(
+def test_a_planned_stop_finishes_running_requests_and_is_not_ready_at_once(
     tmp_path: pathlib.Path,
 ) -> None:
     go_on = asyncio.Event()
@@ -66,7 +66,7 @@
             await asyncio.sleep(0)
             async with site.operator.http.get(url) as resp:
                 assert resp.status == 503
-            # New connections still come until the balancer has noticed.
+            # The load balancer still sends new connections for a while.
             late = asyncio.create_task(
                 site.raw(
                     test_gateway.request("/unsafe/x").replace(
@@ -87,16 +87,16 @@
     asyncio.run(main())
 
 
-def test_what_comes_late_in_a_planned_stop_is_refused_and_not_cut(
+def test_late_requests_in_a_planned_stop_are_refused(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Taken 6 s after SIGTERM, a stream was cut at the end (LOST)."""
+    """A request accepted late must not be cut off at the end of the stop."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             own = site.gateway.site
             # The route's time is 3 s.
-            close_late(own, left_s=2.5)
+            stop_late(own, remaining_s=2.5)
             for path in ("/unsafe/x", "/gen/x"):
                 got = await site.raw(test_gateway.request(path))
                 assert test_gateway.status(got) == 503
@@ -110,24 +110,24 @@
     asyncio.run(main())
 
 
-def test_what_surely_ends_in_time_is_served_late_in_a_planned_stop(
+def test_short_requests_are_served_late_in_a_planned_stop(
     tmp_path: pathlib.Path,
 ) -> None:
-    """All gateways stopped at once: 186 quick requests were refused."""
+    """Quick requests are still served while all gateways stop at once."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            close_late(site.gateway.site, left_s=10.0)
+            stop_late(site.gateway.site, remaining_s=10.0)
             got = await site.raw(test_gateway.request("/unsafe/x"))
             assert test_gateway.status(got) == 200
 
     asyncio.run(main())
 
 
-def test_a_stream_that_a_planned_stop_would_cut_is_not_begun(
+def test_a_stream_that_a_planned_stop_would_cut_is_refused(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Streams of ten seconds were begun and cut after seven."""
+    """A stream longer than the rest of the grace time must be refused."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -138,7 +138,7 @@
             assert test_gateway.status(got) == 503
             assert b"retry-after: 0.05" in got
             assert not site.prefill.requests
-            # Nothing was full: elsewhere it comes as a new one.
+            # No capacity was lacking: another gateway must treat it as new.
             assert not own.refusals.recent(own.loop_time())
             own.planned_stop.begin(own.loop_time() + 30.0)
             got = await site.raw(hinted(1))
@@ -147,15 +147,10 @@
     asyncio.run(main())
 
 
-def test_nor_is_one_begun_to_see_whether_it_would_be_cut(
+def test_no_probe_is_admitted_that_a_planned_stop_would_cut(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Where nothing had begun for a second one was tried all the same.
-
-    Seen once, in a run of this suite beside others, in the test before this
-    one: 200 in place of 503, as more than a second had passed since the site
-    was up.
-    """
+    """Probes of seemingly infeasible requests must respect the stop too."""
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -170,7 +165,7 @@
     asyncio.run(main())
 
 
-def test_a_gateway_never_goes_back_to_an_older_document(
+def test_an_older_document_is_never_applied(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -191,8 +186,8 @@
     asyncio.run(main())
 
 
-def test_a_document_without_routes_is_one(tmp_path: pathlib.Path) -> None:
-    """It was taken for none: a change of it fitted nothing, for a second."""
+def test_a_document_without_routes_is_applied(tmp_path: pathlib.Path) -> None:
+    """An empty document differs from none: changes apply to it."""
 
     async def main() -> None:
         site = alone(tmp_path)
@@ -209,58 +204,58 @@
     asyncio.run(main())
 
 
-def test_who_asks_before_the_first_document_waits_for_it(
+def test_requests_before_the_first_document_wait_for_it(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            known = site.gateway.site
-            routes, known.routes = known.routes, None
-            known.routes_loaded.clear()
-            known.began = known.loop_time()
-            asked = asyncio.create_task(
+            own = site.gateway.site
+            routes, own.routes = own.routes, None
+            own.routes_loaded.clear()
+            own.began = own.loop_time()
+            pending = asyncio.create_task(
                 site.raw(test_gateway.request("/safe/x"))
             )
-            done, _ = await asyncio.wait([asked], timeout=0.1)
+            done, _ = await asyncio.wait([pending], timeout=0.1)
             assert not done
-            known.routes = routes
-            known.routes_loaded.set()
-            assert test_gateway.status(await asked) == 200
+            own.routes = routes
+            own.routes_loaded.set()
+            assert test_gateway.status(await pending) == 200
 
     asyncio.run(main())
 
 
-def test_a_gateway_long_without_a_document_refuses_at_once(
+def test_requests_long_after_the_start_without_a_document_are_refused(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            known = site.gateway.site
-            known.routes = None
-            known.routes_loaded.clear()
-            known.began = known.loop_time() - 10.0
+            own = site.gateway.site
+            own.routes = None
+            own.routes_loaded.clear()
+            own.began = own.loop_time() - 10.0
             got = await site.raw(test_gateway.request("/safe/x"))
             assert test_gateway.status(got) == 503
 
     asyncio.run(main())
 
 
-def test_who_asks_before_the_first_heartbeats_waits_for_one(
+def test_requests_before_the_first_heartbeats_wait_for_one(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            known = site.gateway.site
-            alive = dict(known.table.alive)
-            known.table.alive.clear()
-            known.began = known.loop_time()
-            asked = asyncio.create_task(
+            own = site.gateway.site
+            alive = dict(own.table.alive)
+            own.table.alive.clear()
+            own.began = own.loop_time()
+            pending = asyncio.create_task(
                 site.raw(test_gateway.request("/unsafe/x"))
             )
-            done, _ = await asyncio.wait([asked], timeout=0.1)
+            done, _ = await asyncio.wait([pending], timeout=0.1)
             assert not done
-            known.table.alive.update(alive)
-            assert test_gateway.status(await asked) == 200
+            own.table.alive.update(alive)
+            assert test_gateway.status(await pending) == 200
 
     asyncio.run(main())
 
@@ -268,7 +263,7 @@
 def test_a_gateway_without_coordinators_is_still_counted(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Cut off from control it serves on; the others forgot its load."""
+    """A gateway cut off from the coordinators still serves and adds load."""
 
     async def main() -> None:
         site = alone(tmp_path)
@@ -290,10 +285,12 @@
     asyncio.run(main())
 
 
-def test_all_that_a_gateway_tells_is_taken(tmp_path: pathlib.Path) -> None:
+def test_all_fields_of_a_load_report_are_applied(
+    tmp_path: pathlib.Path,
+) -> None:
     async def main() -> None:
         site = alone(tmp_path)
-        told = messages.GatewayLoad(
+        report = messages.GatewayLoad(
             vm=types.VmId("g2"),
             load_address="127.0.0.1:1",
             incarnation=1,
@@ -308,8 +305,8 @@
             failed=(types.EndpointId("a"),),
             rejecting=(types.EndpointId("b"),),
         )
-        share = load_exchange.LoadExchange(site=site)
-        share.datagram_received(codec.encode(told), None)
+        exchange = load_exchange.LoadExchange(site=site)
+        exchange.datagram_received(codec.encode(report), None)
         now = site.loop_time()
         later = queue_order.WaitingSummary(
             priority=0, slack_s=2.0, start_s=5.0
@@ -322,7 +319,7 @@
     asyncio.run(main())
 
 
-def test_a_log_that_nobody_reads_drops_lines_and_never_waits() -> None:
+def test_a_log_without_a_reader_drops_lines_and_never_waits() -> None:
     read_end, write_end = os.pipe()
     output = logs.BoundedOutput(fd=write_end, most=10)
 
@@ -339,7 +336,7 @@
     os.close(write_end)
 
 
-def test_settings_are_read_again_when_their_file_changes(
+def test_settings_are_reloaded_when_their_file_changes(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "node.json"
--- a/tests/test_stream_times.py
+++ b/tests/test_stream_times.py
@@ -17,24 +17,24 @@
 )
 
 
-def times(*at: float) -> stream_times.StreamTimes:
+def stream_with_events(*at: float) -> stream_times.StreamTimes:
     found = stream_times.StreamTimes(began=0.0)
     for reading in at:
         found.record_event(reading)
     return found
 
 
-def test_a_long_stream_in_time_is_not_called_late() -> None:
-    """All streams longer than the target of their first event were."""
-    found = times(0.5, 0.75, 1.0, 1.25)
+def test_a_long_stream_in_time_is_not_late() -> None:
+    """The target of the first event does not limit the whole stream."""
+    found = stream_with_events(0.5, 0.75, 1.0, 1.25)
     assert not found.is_late(ROUTE)
     assert found.first_s == 0.5 and found.longest_pause_s == 0.25
 
 
 def test_a_late_first_event_or_a_long_pause_is_late() -> None:
-    assert times(0.95, 1.0).is_late(ROUTE)
-    assert times(0.5, 0.85).is_late(ROUTE)
-    # What the route promises nothing of can't be late.
+    assert stream_with_events(0.95, 1.0).is_late(ROUTE)
+    assert stream_with_events(0.5, 0.85).is_late(ROUTE)
+    # A route without targets is never late.
     free = msgspec.structs.replace(ROUTE, target_s=0.0, gap_s=0.0)
-    assert not times(5.0, 9.0).is_late(free)
-    assert not times().is_late(ROUTE)
+    assert not stream_with_events(5.0, 9.0).is_late(free)
+    assert not stream_with_events().is_late(ROUTE)
