--- a/rackpost/gateway/answer_relay.py
+++ b/rackpost/gateway/answer_relay.py
@@ -1,4 +1,4 @@
-"""Passing an endpoint's answer on to the client, whole or as a stream."""
+"""Relaying an endpoint's answer to the client, whole or as a stream."""
 
 from rackpost import exceptions
 from rackpost.gateway import call as call_mod
@@ -7,8 +7,8 @@
 from rackpost.http1 import message
 
 
-def pass_whole(call: call_mod.Call, head: message.Head, body: bytes) -> None:
-    """Pass an endpoint's whole answer on, unchanged."""
+def relay_whole(call: call_mod.Call, head: message.Head, body: bytes) -> None:
+    """Send an endpoint's whole answer to the client, unchanged."""
     lines = message.end_to_end(head.headers)
     if call.is_head:
         length = message.find(head.headers, b"content-length")
@@ -19,10 +19,10 @@
         call.responder.whole(head.status, lines, body)
 
 
-async def relay(
+async def relay_stream(
     call: call_mod.Call, head: message.Head, conn: client.ClientConnection
 ) -> None:
-    """Pass a stream's events on as they come, each once and whole.
+    """Send a stream's events to the client as they come, each once.
 
     Raises ExchangeError where the stream is cut within an event.
     """
@@ -35,7 +35,7 @@
         for event in splitter.feed(chunk):
             if _is_new(call, event):
                 fresh.append(event.data)
-            _note_event(call, event)
+            _record_event(call, event)
         await responder.part(b"".join(fresh))
     if splitter.rest:
         raise exceptions.ExchangeError("ended within an event")
@@ -43,17 +43,17 @@
 
 
 def _is_new(call: call_mod.Call, event: events.Event) -> bool:
-    """Whether the client has not been sent an event yet."""
-    if event.id is None or call.last_event is None:
+    """Whether the client has not been sent this event yet."""
+    if event.id is None or call.last_event_id is None:
         return True
-    return event.id > call.last_event
+    return event.id > call.last_event_id
 
 
-def _note_event(call: call_mod.Call, event: events.Event) -> None:
-    """An event came; one that the client lacks counts as sent to it."""
+def _record_event(call: call_mod.Call, event: events.Event) -> None:
+    """Record an event, and its time if it is new to the client."""
     if event.id is None:
         return
     call.on_event()
     if _is_new(call, event):
-        call.last_event = event.id
-        call.times.note_event(call.site.loop_time())
+        call.last_event_id = event.id
+        call.times.record_event(call.site.loop_time())
--- a/rackpost/gateway/document_fetch.py
+++ b/rackpost/gateway/document_fetch.py
@@ -1,9 +1,8 @@
-"""When a gateway asks whom for which part of the routing document.  Pure.
+"""Decides when to request which chunk of the routing document.  Pure.
 
-At most one part is asked for at a time, whatever is announced meanwhile:
-copies of what takes long would fill a gateway's slow link, keepalives would
-wait behind them, and the link would be given up with all that had come.
-What has come is kept: it counts whoever sends the rest.
+At most one request is in flight, whatever is announced meanwhile: more would
+fill a slow link and delay its keepalives until it is closed.  Received chunks
+are kept and count whichever coordinator sends the rest.
 """
 
 import random
@@ -14,127 +13,138 @@
 
 from rackpost.coordinator import messages
 
-H = TypeVar("H", bound=Hashable)
+Peer = TypeVar("Peer", bound=Hashable)
 
-# A part that has not come after the longest of these is asked for again:
-# this time, in seconds, and a multiple of what the last part took.  The
-# first is 20 times what a part takes on a link of 5 Mbit/s.
-_PATIENCE_S = 0.5
-_PATIENCE_PARTS = 4.0
-# It doubles with each part that did not come, up to this, in seconds.
-_MAX_PATIENCE_S = 4.0
-# After something that could not be used the whole is asked for this much
-# later, in seconds: the next one may be no better.
-_REST_S = 1.0
+# A chunk is requested again after the longer of these: a time in seconds, and
+# a multiple of the time that the last chunk took.  The time suffices for a
+# chunk on a link of 5 Mbit/s.
+_MIN_TIMEOUT_S = 0.5
+_TIMEOUT_FACTOR = 4.0
+# The timeout doubles with each missing chunk up to this, in seconds.
+_MAX_TIMEOUT_S = 4.0
+# After an unusable document the whole one is requested this much later, in
+# seconds, as the next may be unusable too.
+_REJECT_PAUSE_S = 1.0
 
 
-class FetchRequest(NamedTuple, Generic[H]):
-    """What to send to whom; `is_retry` if the last one asked was silent."""
+class FetchRequest(NamedTuple, Generic[Peer]):
+    """A message to send to a peer.
 
-    peer: H
+    `is_retry` is set if the last request was not answered.
+    """
+
+    peer: Peer
     msg: messages.FetchRouting
     is_retry: bool
 
 
-class _Asked(NamedTuple, Generic[H]):
-    """A part that is under way, and since when."""
+class _InFlight(NamedTuple, Generic[Peer]):
+    """A request in flight, with the times of its start and its timeout."""
 
-    holder: H
-    at: float
-    until: float
+    peer: Peer
+    sent_at: float
+    timeout_at: float
 
 
-class _Partial:
-    """What has come of a transfer."""
+class _PartialTransfer:
+    """The received chunks of a transfer."""
 
-    def __init__(self, *, part: messages.RoutingChunk, began: float) -> None:
-        self.digest = part.digest
-        self.size = part.size
+    def __init__(self, *, chunk: messages.RoutingChunk, began: float) -> None:
+        self.digest = chunk.digest
+        self.size = chunk.size
         self.began = began
         self.data = bytearray()
 
 
 class Transfer(NamedTuple):
-    """A transfer that is whole, and how long it took in seconds."""
+    """A complete transfer, and how long it took in seconds."""
 
     data: bytes
     took_s: float
 
 
-class DocumentFetch(Generic[H]):
-    """The transfers of one gateway; a holder is a linked coordinator."""
+class DocumentFetch(Generic[Peer]):
+    """The transfers of one gateway; a peer is a linked coordinator."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
-        self._holders: dict[H, int] = {}
-        self._asked: _Asked[H] | None = None
-        self._partial: _Partial | None = None
-        self._last: H | None = None
-        self._patience_s = _PATIENCE_S
-        # No change to this version is asked for: one could not be used.
-        self._spoilt: int | None = None
-        self._rest_until: float | None = None
+        self._versions: dict[Peer, int] = {}
+        self._in_flight: _InFlight[Peer] | None = None
+        self._partial: _PartialTransfer | None = None
+        self._last_peer: Peer | None = None
+        self._timeout_s = _MIN_TIMEOUT_S
+        # Version whose last change was unusable; the whole document is
+        # requested instead.
+        self._unusable_base: int | None = None
+        self._paused_until: float | None = None
 
     @property
     def newest(self) -> int:
-        """The newest version that a holder has."""
-        return max(self._holders.values(), default=0)
+        """The newest version that a peer has."""
+        return max(self._versions.values(), default=0)
 
     @property
     def wake_at(self) -> float | None:
-        """When there may be something to ask, if nothing comes before."""
-        if self._asked is not None:
-            return self._asked.until
-        return self._rest_until
-
-    def record_version(self, holder: H, version: int) -> None:
-        """A holder has this version."""
-        self._holders[holder] = version
-
-    def remove_peer(self, holder: H) -> None:
-        """A holder is linked no more."""
-        self._holders.pop(holder, None)
-        if self._asked is not None and self._asked.holder == holder:
-            self._asked = None
-
-    def next_request(self, *, have: int, now: float) -> FetchRequest[H] | None:
-        """What to ask now by a gateway that has the version `have`."""
+        """When to call `next_request` next, if nothing arrives before."""
+        if self._in_flight is not None:
+            return self._in_flight.timeout_at
+        return self._paused_until
+
+    def record_version(self, peer: Peer, version: int) -> None:
+        """Record that a peer has this version."""
+        self._versions[peer] = version
+
+    def remove_peer(self, peer: Peer) -> None:
+        """Record that the link to a peer has ended."""
+        self._versions.pop(peer, None)
+        if self._in_flight is not None and self._in_flight.peer == peer:
+            self._in_flight = None
+
+    def next_request(
+        self, *, have: int, now: float
+    ) -> FetchRequest[Peer] | None:
+        """Return the request to send now, None if there is none.
+
+        `have` is the version that the gateway has.
+        """
         if self.newest <= have:
-            self._asked = None
+            self._in_flight = None
             self._partial = None
-            self._rest_until = None
+            self._paused_until = None
             return None
-        if self._rest_until is not None:
-            if now < self._rest_until:
+        if self._paused_until is not None:
+            if now < self._paused_until:
                 return None
-            self._rest_until = None
-        silent = None
-        if self._asked is not None:
-            if now < self._asked.until:
+            self._paused_until = None
+        silent_peer = None
+        if self._in_flight is not None:
+            if now < self._in_flight.timeout_at:
                 return None
-            silent = self._asked.holder
-            self._patience_s = min(2.0 * self._patience_s, _MAX_PATIENCE_S)
-        holder = self._choose(silent)
-        self._asked = _Asked(holder, now, now + self._patience_s)
-        self._last = holder
-        return FetchRequest(holder, self._fetch(have), silent is not None)
-
-    def _choose(self, silent: H | None) -> H:
-        """Who is asked: the last one again, unless it was silent.
-
-        It knows the transfer, and what this gateway has.  Gateways that
-        have asked nobody yet spread by chance.
+            silent_peer = self._in_flight.peer
+            self._timeout_s = min(2.0 * self._timeout_s, _MAX_TIMEOUT_S)
+        peer = self._choose(silent_peer)
+        self._in_flight = _InFlight(peer, now, now + self._timeout_s)
+        self._last_peer = peer
+        return FetchRequest(peer, self._message(have), silent_peer is not None)
+
+    def _choose(self, silent_peer: Peer | None) -> Peer:
+        """Return the peer of the last request, unless it did not answer.
+
+        It knows the transfer.  Otherwise a random one with the newest version,
+        so that gateways spread over the coordinators.
         """
         newest = self.newest
-        found = [key for key, at in self._holders.items() if at == newest]
-        if self._last in found and self._last != silent:
-            assert self._last is not None
-            return self._last
-        others = [key for key in found if key != silent]
-        return self._rng.choice(others or found)
-
-    def _fetch(self, have: int) -> messages.FetchRouting:
-        base = 0 if have == self._spoilt else have
+        candidates = [
+            key for key, at in self._versions.items() if at == newest
+        ]
+        if self._last_peer in candidates and self._last_peer != silent_peer:
+            assert self._last_peer is not None
+            return self._last_peer
+        others = [key for key in candidates if key != silent_peer]
+        return self._rng.choice(others or candidates)
+
+    def _message(self, have: int) -> messages.FetchRouting:
+        base = 0 if have == self._unusable_base else have
         if self._partial is None:
             return messages.FetchRouting(held_version=base)
         return messages.FetchRouting(
@@ -144,44 +154,46 @@
         )
 
     def receive(
-        self, holder: H, part: messages.RoutingChunk, now: float
+        self, peer: Peer, chunk: messages.RoutingChunk, now: float
     ) -> Transfer | None:
-        """Take a part; the whole once all of it is there.
+        """Add a chunk; return the transfer once it is complete.
 
-        A part that is not the next one came twice, and is dropped.
+        A chunk other than the next one is a duplicate and is dropped.
         """
-        if not self._is_next(holder, part):
+        if not self._is_next(peer, chunk):
             return None
-        if part.offset == 0:
-            began = now if self._asked is None else self._asked.at
-            self._partial = _Partial(part=part, began=began)
+        if chunk.offset == 0:
+            began = now if self._in_flight is None else self._in_flight.sent_at
+            self._partial = _PartialTransfer(chunk=chunk, began=began)
         partial = self._partial
         assert partial is not None
-        partial.data += part.data
-        self._note_pace(now)
+        partial.data += chunk.data
+        self._adapt_timeout(now)
         if len(partial.data) < partial.size:
             return None
         self._partial = None
         return Transfer(bytes(partial.data), now - partial.began)
 
     def reject_document(self, *, have: int, now: float) -> None:
-        """What came was of no use to a gateway that has `have`."""
-        self._spoilt = have
-        self._rest_until = now + _REST_S
+        """Record that the last transfer was unusable for version `have`."""
+        self._unusable_base = have
+        self._paused_until = now + _REJECT_PAUSE_S
 
-    def _is_next(self, holder: H, part: messages.RoutingChunk) -> bool:
+    def _is_next(self, peer: Peer, chunk: messages.RoutingChunk) -> bool:
         partial = self._partial
-        if partial is not None and part.digest == partial.digest:
-            return part.offset == len(partial.data)
-        # Another transfer may begin only where it was asked for: what one
-        # says late that was given up must not undo what has come since.
-        asked = self._asked is not None and self._asked.holder == holder
-        return part.offset == 0 and asked
-
-    def _note_pace(self, now: float) -> None:
-        if self._asked is not None:
-            took = now - self._asked.at
-            self._patience_s = min(
-                max(_PATIENCE_S, _PATIENCE_PARTS * took), _MAX_PATIENCE_S
+        if partial is not None and chunk.digest == partial.digest:
+            return chunk.offset == len(partial.data)
+        # A new transfer may start only with the requested peer: a late answer
+        # to an abandoned request must not discard received chunks.
+        requested = (
+            self._in_flight is not None and self._in_flight.peer == peer
+        )
+        return chunk.offset == 0 and requested
+
+    def _adapt_timeout(self, now: float) -> None:
+        if self._in_flight is not None:
+            took = now - self._in_flight.sent_at
+            self._timeout_s = min(
+                max(_MIN_TIMEOUT_S, _TIMEOUT_FACTOR * took), _MAX_TIMEOUT_S
             )
-        self._asked = None
+        self._in_flight = None
--- a/rackpost/gateway/planned_stop.py
+++ b/rackpost/gateway/planned_stop.py
@@ -1,32 +1,32 @@
-"""A planned stop of a gateway: when it ends, and what it still begins."""
+"""The planned stop of a gateway, and which requests it still starts."""
 
 import math
 
 
 class PlannedStop:
-    """Lets all begin at first, later only what surely ends in time.
+    """Accepts all requests at first, later those that end in time.
 
     Times are readings of the loop's clock, in seconds.
     """
 
     def __init__(self) -> None:
-        # When the stop ends at the latest; never while none is under way.
+        # The latest end of the stop; infinite while no stop has begun.
         self.ends_at = math.inf
-        self._is_closed = False
+        self._is_restricted = False
 
     def begin(self, ends_at: float) -> None:
-        """A stop has begun, which ends by then."""
+        """Begin a stop that ends at `ends_at` at the latest."""
         self.ends_at = ends_at
 
     @property
-    def is_under_way(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether a stop has begun."""
         return self.ends_at < math.inf
 
-    def close(self) -> None:
-        """Begin no more what might be cut off at the end."""
-        self._is_closed = True
+    def restrict(self) -> None:
+        """Accept no more requests that the end might interrupt."""
+        self._is_restricted = True
 
-    def may_begin(self, until: float) -> bool:
-        """Whether a request that ends by `until` is still begun."""
-        return not self._is_closed or until <= self.ends_at
+    def may_start(self, deadline: float) -> bool:
+        """Whether a request with this deadline is accepted."""
+        return not self._is_restricted or deadline <= self.ends_at
--- a/rackpost/gateway/process.py
+++ b/rackpost/gateway/process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process: its listeners, its links, its planned stop."""
+"""The gateway process: its listeners, its links, its planned stop."""
 
 import asyncio
 import contextlib
@@ -19,16 +19,15 @@
 from rackpost.platform import paths
 from rackpost.platform import settings
 
-# The balancer asks each second and takes a gateway out after two misses;
-# until then it still brings new connections.
-_NOTICED_S = 3.0
-# What is left of the grace time for ending, in seconds: links are closed
-# with a word, which takes up to 0.3 s on a silent one.
-_END_S = 1.0
-_STEP_S = 0.05
-# A gateway that has started waits so long for news of endpoints, which
-# send heartbeats every second or so, before it is ready without any.
-_ENDPOINTS_S = 5.0
+# The load balancer probes each second and removes a gateway after two
+# failures; until then it sends new connections.
+_BALANCER_DELAY_S = 3.0
+# Part of the grace time reserved for closing links, in seconds.
+_CLOSING_S = 1.0
+_POLL_S = 0.05
+# A started gateway waits this long for endpoints before it reports ready
+# without any, in seconds.
+_ENDPOINTS_WAIT_S = 5.0
 _SWEEP_S = 1.0
 
 
@@ -45,15 +44,16 @@
         self.site = site_mod.Site(host=host, policy=policy)
         self._links = control_links.ControlLinks(site=self.site)
         self._server = server.Server(
-            handler=handler_mod.Handler(site=self.site).handle, failed=_failed
+            handler=handler_mod.Handler(site=self.site).handle,
+            failed=_log_failure,
         )
         self.stopping = False
         self._ready = False
         self._began = self.site.loop_time()
 
     def is_ready(self) -> bool:
-        """Whether new connections are welcome here."""
-        ready = self._knows_enough() and not self.stopping
+        """Whether the load balancer may send new connections."""
+        ready = self._has_routes_and_endpoints() and not self.stopping
         if ready != self._ready:
             self._ready = ready
             logs.say(
@@ -64,15 +64,15 @@
             )
         return ready
 
-    def _knows_enough(self) -> bool:
-        """Whether routes are there, and endpoints if there are any."""
+    def _has_routes_and_endpoints(self) -> bool:
+        """Whether there are routes, and endpoints if the site has any."""
         if self.site.routes is None:
             return False
         waited = self.site.loop_time() - self._began
-        return bool(self.site.table.alive) or waited > _ENDPOINTS_S
+        return bool(self.site.table.alive) or waited > _ENDPOINTS_WAIT_S
 
     def reload(self, host: settings.HostSettings) -> None:
-        """Take new settings: other seeds."""
+        """Apply new settings: other seeds."""
         self._links.reload(host)
         logs.say(
             logs.Part.GATEWAY, "Settings reloaded.", seeds=list(host.seeds)
@@ -82,24 +82,24 @@
         while True:
             await asyncio.sleep(_SWEEP_S)
             self.site.pool.sweep()
-            self._links.tell_demands()
+            self._links.publish_demands()
             self.site.loads.expire(self.site.loop_time())
             self.site.quotas.forget(self.site.loop_time())
-            self.site.drop_gateways()
-            self.site.grants.sweep()
-            self.site.suspects.recheck(self.site.loop_time())
+            self.site.drop_silent_gateways()
+            self.site.rate_grants.sweep()
+            self.site.crash_tracker.recheck(self.site.loop_time())
             if self.site.routes is not None:
                 self._server.limits = self.site.routes.limits
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[None]:
         """Serve until the block ends."""
-        share = load_exchange.LoadExchange(site=self.site)
+        exchange = load_exchange.LoadExchange(site=self.site)
         async with contextlib.AsyncExitStack() as stack:
             stack.callback(self._links.close)
             stack.callback(self.site.pool.close)
             stack.push_async_callback(self.site.tasks.close)
-            await stack.enter_async_context(share.running())
+            await stack.enter_async_context(exchange.running())
             await stack.enter_async_context(self._serving_ready())
             await stack.enter_async_context(self._serving_metrics())
             at = address.split(self._host.listen.clients)
@@ -107,7 +107,7 @@
                 self._server.serving(at.host, at.port)
             )
             self.site.tasks.keep(self._sweep)
-            self.site.tasks.keep(self.site.room.run)
+            self.site.tasks.keep(self.site.admission_queue.run)
             yield
 
     def _serving_ready(self) -> contextlib.AbstractAsyncContextManager:
@@ -116,7 +116,7 @@
             {paths.READY: self._ready_page},
             host=at.host,
             port=at.port,
-            failed=_failed,
+            failed=_log_failure,
         )
 
     def _serving_metrics(self) -> contextlib.AbstractAsyncContextManager:
@@ -124,7 +124,7 @@
             {b"/metrics": self._metrics_page},
             host=self._host.ip,
             port=self._host.internal_ports[0] + links.METRICS_PORT,
-            failed=_failed,
+            failed=_log_failure,
         )
 
     def _ready_page(self) -> tuple[int, str]:
@@ -136,12 +136,12 @@
         return 200, self.site.metrics.text()
 
     async def stop(self) -> None:
-        """End what runs, take nothing new once the balancer knows."""
+        """Drain the gateway within the grace time."""
         began = self.site.loop_time()
         self.stopping = True
         self._server.stopping = True
         self.is_ready()
-        await self._end_what_runs(began)
+        await self._drain(began)
         logs.say(
             logs.Part.GATEWAY,
             "Stopped.",
@@ -149,24 +149,24 @@
             took_s=round(self.site.loop_time() - began, 2),
         )
 
-    async def _end_what_runs(self, began: float) -> None:
-        """Wait until all is answered, up to the end of the grace time."""
+    async def _drain(self, began: float) -> None:
+        """Wait until no request runs, up to the end of the grace time."""
         stop = self.site.planned_stop
-        stop.begin(began + self._host.bounds.grace_s - _END_S)
+        stop.begin(began + self._host.bounds.grace_s - _CLOSING_S)
         while (now := self.site.loop_time()) < stop.ends_at:
-            if now - began >= _NOTICED_S:
-                stop.close()
+            if now - began >= _BALANCER_DELAY_S:
+                stop.restrict()
                 self._server.close_idle()
                 if not self._server.busy:
                     return
-            await asyncio.sleep(_STEP_S)
+            await asyncio.sleep(_POLL_S)
 
 
-def _failed(req: message.Request, exc: Exception) -> None:
+def _log_failure(req: message.Request, exc: Exception) -> None:
     ident = message.find(req.headers, headers.REQUEST_ID) or b""
     logs.say(
         logs.Part.GATEWAY,
-        "Request met a fault in the gateway.",
+        "Request failed in the gateway.",
         request=ident.decode("latin-1"),
         why=repr(exc),
     )
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -1,4 +1,8 @@
-"""Grants of endpoints' rates: asked of their owners, and given by them."""
+"""Grants to send requests to endpoints that name a rate.
+
+Each rate has one gateway as its owner.  The others request grants from the
+owner by datagrams.
+"""
 
 import asyncio
 import contextlib
@@ -24,21 +28,20 @@
 from rackpost.routing import endpoints
 from rackpost import types
 
-# An owner answers within this, in seconds: some round trips between the data
-# centres that are farthest apart.  Then other endpoints are used.
-_ANSWER_S = 0.12
-# A gateway that has told nothing for this long owns no rate, in seconds:
-# figures are told each second, and one telling may be lost.
-_SILENT_S = 2.5
-# A grant is for a request that is sent soon, in seconds: time for a prompt to
-# be read first, and no more, as what is kept longer adds to a later window.
-_FRESH_S = 1.0
-# What has not been asked for in this long is forgotten, in seconds.
-_KEEP_S = 30.0
-# Between two lines on one endpoint, in seconds: each request that is not sent
-# has a line of its own.
-_LINE_S = 1.0
-_NUMBER_BITS = 32
+# An owner answers within this, in seconds: some round trips between distant
+# data centres.  Afterwards other endpoints are used.
+_ANSWER_TIMEOUT_S = 0.12
+# A gateway without a load report for this long owns no rate, in seconds;
+# reports come each second, and one may be lost.
+_OWNER_TIMEOUT_S = 2.5
+# Lifetime of a grant, in seconds: enough for a prefill.  A longer one would
+# let sends slip into a later window of the rate.
+_GRANT_LIFETIME_S = 1.0
+# Unused grant accounts are dropped after this, in seconds.
+_LEDGER_KEEP_S = 30.0
+# Least time between two log lines on one endpoint, in seconds.
+_LOG_INTERVAL_S = 1.0
+_REQUEST_NUMBER_BITS = 32
 
 Send = Callable[[bytes, address.Address], None]
 Message = Union[
@@ -46,8 +49,8 @@
 ]
 
 
-class _Asked(enum.Enum):
-    """What became of asking for a grant, for the metrics."""
+class _GrantOutcome(enum.Enum):
+    """How a request for a grant ended, for the metrics."""
 
     GRANTED = "granted"
     USED_UP = "used up"
@@ -55,7 +58,7 @@
 
 
 class Grant:
-    """The word that one request may be sent to an endpoint, once and soon."""
+    """A grant to send one request to an endpoint, valid once and briefly."""
 
     def __init__(
         self,
@@ -69,14 +72,16 @@
         self._at = at
         self.is_spent = False
 
-    def is_for(self, endpoint: endpoints.Endpoint, now: float) -> bool:
-        """Whether a request may be sent there by it now."""
+    def is_valid_for(self, endpoint: endpoints.Endpoint, now: float) -> bool:
+        """Whether the grant is valid for a request to this endpoint now."""
         same = self.endpoint.incarnation == endpoint.incarnation
-        return same and not self.is_spent and now < self._at + _FRESH_S
+        return (
+            same and not self.is_spent and now < self._at + _GRANT_LIFETIME_S
+        )
 
 
 class RateGrants:
-    """One gateway's grants, those it asks for and those it gives."""
+    """The grants that one gateway requests, and those that it decides."""
 
     def __init__(
         self,
@@ -94,51 +99,57 @@
         self._loads = loads
         self._group = group
         self._metrics = metrics
-        self._book = rate_grants.GrantLedger(rng=rng)
+        self._ledger = rate_grants.GrantLedger(rng=rng)
         self._gateways: dict[types.VmId, messages.GatewayAddress] = {}
-        # Answers to those of an earlier life of this gateway are for nobody.
-        self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
-        self._asked: dict[int, asyncio.Future[messages.GrantAnswer]] = {}
-        self._pauses = logs.Pauses(pause_s=_LINE_S)
-        # Set by who holds the socket.
-        self.send: Send = _nowhere
+        # A random start, so that answers to an earlier incarnation of this
+        # gateway match no request.
+        self._request_numbers = itertools.count(
+            rng.getrandbits(_REQUEST_NUMBER_BITS)
+        )
+        self._pending: dict[int, asyncio.Future[messages.GrantAnswer]] = {}
+        self._log_pauses = logs.Pauses(pause_s=_LOG_INTERVAL_S)
+        # Set by LoadExchange, which owns the socket.
+        self.send: Send = _send_nothing
 
     def set_gateways(self, found: Iterable[messages.GatewayAddress]) -> None:
-        """The gateways that may own a rate."""
+        """Set the gateways that may own a rate."""
         self._gateways = {item.vm: item for item in found}
 
     def sweep(self) -> None:
-        """Forget what is over."""
+        """Drop expired state."""
         self._eligible.forget_rates()
-        self._book.forget(self._loop.time() - _KEEP_S)
+        self._ledger.forget(self._loop.time() - _LEDGER_KEEP_S)
 
     def receive_rate(
-        self, told: endpoint_rates.RateUpdate, now: float
+        self, update: endpoint_rates.RateUpdate, now: float
     ) -> None:
-        """Another gateway tells what an endpoint's answers named."""
-        if not self._eligible.rates.receive(told, now):
+        """Record an endpoint's rate that another gateway reports."""
+        if not self._eligible.rates.receive(update, now):
             return
         logs.say(
             logs.Part.GATEWAY,
             "Told of an endpoint's rate.",
-            endpoint=told.endpoint,
-            born=told.born,
-            rate_per_s=told.per_s,
-            age_s=told.age_s,
+            endpoint=update.endpoint,
+            born=update.born,
+            rate_per_s=update.per_s,
+            age_s=update.age_s,
         )
 
     def requires_grant(self, endpoint: endpoints.Endpoint) -> bool:
-        """Whether a request there needs a grant."""
+        """Whether requests to the endpoint need a grant."""
         return self._eligible.rates.per_s(endpoint) is not None
 
     def spend(self, endpoint: endpoints.Endpoint, grant: Grant | None) -> None:
-        """A request is about to be written; Barred without a grant.
+        """Use up a grant for a request that is about to be sent.
 
-        Where a rate was named since the grant was to be asked for, too.
+        Raises Barred without a valid grant where one is needed, also if the
+        rate was named only after the grant was to be acquired.
         """
         if not self.requires_grant(endpoint):
             return
-        if grant is None or not grant.is_for(endpoint, self._loop.time()):
+        if grant is None or not grant.is_valid_for(
+            endpoint, self._loop.time()
+        ):
             raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
         grant.is_spent = True
 
@@ -146,85 +157,94 @@
     async def acquire(
         self, endpoint: endpoints.Endpoint, *, priority: int, waits: bool
     ) -> AsyncIterator[Grant | None]:
-        """A grant to send one request, given back if it is not spent.
+        """Acquire a grant for one request; release it if it is not spent.
 
-        None where none is needed; raises Barred where there is none.
+        Yields None where none is needed.  Raises Barred where none is
+        available.
         """
         grant = None
         if self.requires_grant(endpoint):
-            wish = rate_grants.GrantApplicant(
+            applicant = rate_grants.GrantApplicant(
                 vm=self._vm, priority=priority, is_waiting=waits
             )
-            grant = await self._ask(endpoint, wish)
+            grant = await self._request(endpoint, applicant)
         try:
             yield grant
         finally:
             if grant is not None and not grant.is_spent:
-                self._give_back(grant)
+                self._release(grant)
 
-    async def _ask(
-        self, endpoint: endpoints.Endpoint, wish: rate_grants.GrantApplicant
+    async def _request(
+        self,
+        endpoint: endpoints.Endpoint,
+        applicant: rate_grants.GrantApplicant,
     ) -> Grant:
         now = self._loop.time()
         owner = self._owner(endpoint.id, now)
         if owner == self._vm:
-            verdict = self._decide(endpoint.incarnation, wish, now)
+            decision = self._decide(endpoint.incarnation, applicant, now)
         else:
-            verdict = await self._ask_owner(owner, endpoint, wish)
+            decision = await self._request_from_owner(
+                owner, endpoint, applicant
+            )
         now = self._loop.time()
-        self._eligible.gate.record_decision(endpoint, verdict, now)
-        if verdict.granted:
-            self._count(_Asked.GRANTED, endpoint)
+        self._eligible.gate.record_decision(endpoint, decision, now)
+        if decision.granted:
+            self._count(_GrantOutcome.GRANTED, endpoint)
             return Grant(endpoint=endpoint, owner=owner, at=now)
-        self._count(_Asked.USED_UP, endpoint)
-        self._say(endpoint, owner, "Rate is used up.", verdict.wait_s)
+        self._count(_GrantOutcome.USED_UP, endpoint)
+        self._log(endpoint, owner, "Rate is used up.", decision.wait_s)
         raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
 
-    def _count(self, what: _Asked, endpoint: endpoints.Endpoint) -> None:
-        self._metrics.count("rate_grants", what, endpoint.service)
+    def _count(
+        self, outcome: _GrantOutcome, endpoint: endpoints.Endpoint
+    ) -> None:
+        self._metrics.count("rate_grants", outcome, endpoint.service)
 
-    def _say(
+    def _log(
         self,
         endpoint: endpoints.Endpoint,
         owner: types.VmId,
-        sentence: str,
+        text: str,
         wait_s: float | None = None,
     ) -> None:
-        if not self._pauses.is_due(endpoint.id, self._loop.time()):
+        if not self._log_pauses.is_due(endpoint.id, self._loop.time()):
             return
         logs.say(
             logs.Part.GATEWAY,
-            sentence,
+            text,
             endpoint=endpoint.id,
             owner=owner,
             rate_per_s=self._eligible.rates.per_s(endpoint),
             wait_s=None if wait_s is None else round(wait_s, 3),
         )
 
-    async def _ask_owner(
+    async def _request_from_owner(
         self,
         owner: types.VmId,
         endpoint: endpoints.Endpoint,
-        wish: rate_grants.GrantApplicant,
+        applicant: rate_grants.GrantApplicant,
     ) -> rate_grants.GrantDecision:
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         rate = self._rate(endpoint.incarnation)
-        msg = messages.GrantRequest(number=number, applicant=wish, rate=rate)
+        msg = messages.GrantRequest(
+            number=number, applicant=applicant, rate=rate
+        )
         answer = self._loop.create_future()
-        self._asked[number] = answer
+        self._pending[number] = answer
         try:
             self._send_to(owner, msg)
-            async with asyncio.timeout(_ANSWER_S):
+            async with asyncio.timeout(_ANSWER_TIMEOUT_S):
                 found = await answer
         except TimeoutError as exc:
             self._eligible.gate.record_no_answer(endpoint, self._loop.time())
-            self._count(_Asked.UNANSWERED, endpoint)
-            self._say(endpoint, owner, "Owner of a rate does not answer.")
+            self._count(_GrantOutcome.UNANSWERED, endpoint)
+            self._log(endpoint, owner, "Owner of a rate does not answer.")
             raise exceptions.Barred(
                 eligibility.IneligibleReason.RATE.value
             ) from exc
         finally:
-            del self._asked[number]
+            del self._pending[number]
         self.receive_rate(found.rate, self._loop.time())
         return found.decision
 
@@ -234,79 +254,81 @@
             self.send(codec.encode(msg), address.split(known.load_address))
 
     def _rate(self, key: endpoints.Incarnation) -> endpoint_rates.RateUpdate:
-        """What is known here of a rate."""
+        """Return what this gateway knows of a rate."""
         return self._eligible.rates.update_for(key, self._loop.time())
 
     def receive(self, msg: Message, sender: address.Address) -> None:
-        """A message of another gateway."""
+        """Handle a message of another gateway."""
         if isinstance(msg, messages.GrantRequest):
-            self._answer(msg, sender)
+            self._answer_request(msg, sender)
         elif isinstance(msg, messages.GrantAnswer):
-            self._take_answer(msg)
+            self._receive_answer(msg)
         else:
             key = endpoints.Incarnation(msg.endpoint, msg.born)
-            self._book.release(key)
+            self._ledger.release(key)
 
-    def _answer(
+    def _answer_request(
         self, msg: messages.GrantRequest, sender: address.Address
     ) -> None:
         now = self._loop.time()
         self.receive_rate(msg.rate, now)
         key = msg.rate.incarnation
-        verdict = self._decide(key, msg.applicant, now)
+        decision = self._decide(key, msg.applicant, now)
         answer = messages.GrantAnswer(
-            number=msg.number, decision=verdict, rate=self._rate(key)
+            number=msg.number, decision=decision, rate=self._rate(key)
         )
         self.send(codec.encode(answer), sender)
 
-    def _take_answer(self, msg: messages.GrantAnswer) -> None:
-        asked = self._asked.get(msg.number)
-        if asked is not None and not asked.done():
-            asked.set_result(msg)
+    def _receive_answer(self, msg: messages.GrantAnswer) -> None:
+        pending = self._pending.get(msg.number)
+        if pending is not None and not pending.done():
+            pending.set_result(msg)
 
     def _decide(
         self,
         key: endpoints.Incarnation,
-        wish: rate_grants.GrantApplicant,
+        applicant: rate_grants.GrantApplicant,
         now: float,
     ) -> rate_grants.GrantDecision:
-        """What the owner says, if this gateway is the owner."""
+        """Return the owner's decision on a request for a grant."""
         per_s = self._rate(key).per_s
         if per_s is None:
-            # It has ended, and the asker is told so.
+            # The endpoint names no rate any more; the answer says so.
             return rate_grants.GrantDecision(granted=True)
         if self._owner(key.id, now) != self._vm:
-            # Two do not agree yet on who there is.
-            return rate_grants.GrantDecision(granted=False, wait_s=_ANSWER_S)
-        return self._book.decide(
+            # The gateways do not agree yet on the owner.
+            return rate_grants.GrantDecision(
+                granted=False, wait_s=_ANSWER_TIMEOUT_S
+            )
+        return self._ledger.decide(
             key,
-            wish,
+            applicant,
             per_s=per_s,
             since=self._eligible.rates.since(key),
-            share=self._share(now),
+            share=self._reachable_share(now),
             now=now,
         )
 
-    def _give_back(self, grant: Grant) -> None:
+    def _release(self, grant: Grant) -> None:
         key = grant.endpoint.incarnation
         if grant.owner == self._vm:
-            self._book.release(key)
+            self._ledger.release(key)
             return
         self._send_to(
             grant.owner, messages.ReturnGrant(endpoint=key.id, born=key.born)
         )
 
     def _owner(self, key: types.EndpointId, now: float) -> types.VmId:
-        return rate_grants.owner(key, self._heard(now))
+        return rate_grants.owner(key, self._possible_owners(now))
 
-    def _heard(self, now: float) -> list[types.VmId]:
-        """Gateways that may own a rate, this one included.
+    def _possible_owners(self, now: float) -> list[types.VmId]:
+        """Return the gateways that may own a rate, this one included.
 
-        Those of other groups tell this one nothing: they count as long as
-        coordinators tell of them.
+        Gateways of other groups send no load reports here; they count while
+        the coordinators list them.
         """
-        since = now - _SILENT_S
-        heard = [
+        since = now - _OWNER_TIMEOUT_S
+        others = [
             vm
             for vm in self._gateways
             if vm != self._vm
@@ -315,13 +337,13 @@
                 or self._loads.received_since(vm, since)
             )
         ]
-        return [self._vm, *heard]
+        return [self._vm, *others]
 
-    def _share(self, now: float) -> float:
-        """The part of all gateways that is heard, this one included."""
+    def _reachable_share(self, now: float) -> float:
+        """Return the share of all gateways that may own a rate."""
         known = len(set(self._gateways) | {self._vm})
-        return len(self._heard(now)) / known
+        return len(self._possible_owners(now)) / known
 
 
-def _nowhere(data: bytes, addr: address.Address) -> None:
-    """There is no socket yet."""
+def _send_nothing(data: bytes, addr: address.Address) -> None:
+    """Drop a datagram: there is no socket yet."""
