--- a/rackpost/gateway/control_links.py
+++ b/rackpost/gateway/control_links.py
@@ -67,7 +67,7 @@
         )
         self._site.capacity_changed.set()
 
-    def publish_demands(self) -> None:
+    def tell_demands(self) -> None:
         """Report the demand of this gateway's clients to all coordinators."""
         msg = messages.Demands(
             items=self._site.demands(),
