--- a/lab/cases.py
+++ b/lab/cases.py
@@ -333,9 +333,9 @@
                 continue
             last = loop.time()
             first = first or last
-            if isinstance(event, request.Piece):
+            if isinstance(event, request.TextChunk):
                 pieces.append(event.text)
-            elif isinstance(event, request.PlainPart):
+            elif isinstance(event, request.PlainChunk):
                 body += event.data
         if offer.kind.plain:
             method = offer.kind.method
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -238,7 +238,7 @@
             body=bytes(4000),
         ),
         number=types.Attempt(1),
-        ask=_ask(),
+        requirements=_ask(),
         offset=0,
         pool=pool.Pool(rng=rng),
         policy=placement.JointPolicy(rng=rng),
--- a/rackpost/entry/answers.py
+++ b/rackpost/entry/answers.py
@@ -17,12 +17,12 @@
 from rackpost import types
 
 # A caller has this long to take each part of its answer, in seconds.
-READER_S = 10.0
+SEND_TIMEOUT_S = 10.0
 
 Send = Callable[[Any], Awaitable[None]]
 
 
-def of_problem(found: openai.Problem) -> responses.Response:
+def problem_response(found: openai.Problem) -> responses.Response:
     """A problem as an answer."""
     headers = {"x-request-id": found.request_id}
     if found.retry_after_s is not None:
@@ -54,7 +54,7 @@
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         writing = asyncio.create_task(self._write_closing(scope, send))
-        leaving = asyncio.create_task(_left(receive))
+        leaving = asyncio.create_task(_wait_for_disconnect(receive))
         try:
             await asyncio.wait(
                 [writing, leaving], return_when=asyncio.FIRST_COMPLETED
@@ -71,13 +71,13 @@
         async with contextlib.aclosing(self._events):
             try:
                 await self._write(scope, send)
-            except _ReaderStopped:
+            except _CallerStalled:
                 return
 
     async def _write(self, scope: Any, send: Send) -> None:
         raise NotImplementedError
 
-    async def _start(
+    async def _send_start(
         self, send: Send, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
         head = [(b"x-request-id", self._req.encode()), *headers]
@@ -90,26 +90,26 @@
             },
         )
 
-    async def _part(self, send: Send, data: bytes, more: bool) -> None:
+    async def _send_body(self, send: Send, data: bytes, more: bool) -> None:
         await _send(
             send,
             {"type": "http.response.body", "body": data, "more_body": more},
         )
 
 
-class _ReaderStopped(exceptions.RackpostError):
+class _CallerStalled(exceptions.RackpostError):
     """The caller takes nothing of its answer."""
 
 
 async def _send(send: Send, event: Any) -> None:
     try:
-        async with asyncio.timeout(READER_S):
+        async with asyncio.timeout(SEND_TIMEOUT_S):
             await send(event)
     except TimeoutError:
-        raise _ReaderStopped("the caller takes nothing") from None
+        raise _CallerStalled("the caller takes nothing") from None
 
 
-async def _left(receive: Any) -> None:
+async def _wait_for_disconnect(receive: Any) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
 
@@ -142,23 +142,23 @@
                 if event.outcome is types.Outcome.ANSWERED:
                     if not started:
                         await self._start_stream(send)
-                    last = self._writer.closing(event.tokens)
+                    last = self._writer.final_events(event.tokens)
                 elif started:
-                    last = self._writer.broken(event)
+                    last = self._writer.error_event(event)
                 else:
                     await _refuse(event, self._req, scope, send)
                     return
-                await self._part(send, last, False)
+                await self._send_body(send, last, False)
                 return
-            if isinstance(event, request.Piece):
+            if isinstance(event, request.TextChunk):
                 if not started:
                     await self._start_stream(send)
                     started = True
                 data = self._writer.chunk(event.text, None)
-                await self._part(send, data, True)
+                await self._send_body(send, data, True)
 
     async def _start_stream(self, send: Send) -> None:
-        await self._start(
+        await self._send_start(
             send,
             200,
             [
@@ -170,16 +170,16 @@
     async def _write_whole(self, scope: Any, send: Send) -> None:
         texts: list[str] = []
         async for event in self._events:
-            if isinstance(event, request.Piece):
+            if isinstance(event, request.TextChunk):
                 texts.append(event.text)
             elif isinstance(event, request.End):
                 if event.outcome is not types.Outcome.ANSWERED:
                     await _refuse(event, self._req, scope, send)
                     return
-                data = self._writer.whole("".join(texts), event.tokens)
+                data = self._writer.complete_body("".join(texts), event.tokens)
                 kind = (b"content-type", b"application/json")
-                await self._start(send, 200, [kind])
-                await self._part(send, data, False)
+                await self._send_start(send, 200, [kind])
+                await self._send_body(send, data, False)
                 return
 
 
@@ -195,12 +195,12 @@
                     (name.lower().encode(), value.encode())
                     for name, value in event.headers
                 ]
-                await self._start(send, event.status, headers)
-            elif isinstance(event, request.PlainPart):
-                await self._part(send, event.data, True)
+                await self._send_start(send, event.status, headers)
+            elif isinstance(event, request.PlainChunk):
+                await self._send_body(send, event.data, True)
             elif isinstance(event, request.End):
                 if event.outcome is types.Outcome.ANSWERED:
-                    await self._part(send, b"", False)
+                    await self._send_body(send, b"", False)
                 elif not started:
                     await _refuse(event, self._req, scope, send)
                 # A started answer that broke off is left unended, so the
@@ -211,9 +211,9 @@
 async def _refuse(
     end: request.End, name: types.RequestId, scope: Any, send: Send
 ) -> None:
-    answer = of_problem(openai.problem(end, name))
-    await answer(scope, _never, send)
+    answer = problem_response(openai.problem(end, name))
+    await answer(scope, _receive_nothing, send)
 
 
-async def _never() -> Any:
+async def _receive_nothing() -> Any:
     raise RuntimeError("nothing is received here")
--- a/rackpost/entry/attempt.py
+++ b/rackpost/entry/attempt.py
@@ -18,36 +18,36 @@
 from rackpost import types
 
 # An agent that has not answered a reservation by then is not waited for.
-REPLY_S = 0.25
+REPLY_TIMEOUT_S = 0.25
 # A request is answered, one way or the other, after this many refusals.
 MAX_REFUSALS = 2
 # The KV cache is kept by the engine for under a second; a prefill is not
 # started earlier than this before the decode slot is there, in seconds.
-KEEP_S = 0.4
+MAX_PREFILL_LEAD_S = 0.4
 # Beyond what the agent itself allows before it reports a stall.
-_AGENT_SILENT_S = 6.0
+_AGENT_TIMEOUT_S = 6.0
 # A slow reader's answer waits here; more than this many pieces end it.
-MAX_WAITING_PIECES = 20_000
+MAX_QUEUED_MESSAGES = 20_000
 
 
-class _Gone(msgspec.Struct, frozen=True, kw_only=True):
+class _LinkLost(msgspec.Struct, frozen=True, kw_only=True):
     """The link to an agent was lost."""
 
     agent: types.AgentId
 
 
-class _Silent(msgspec.Struct, frozen=True):
+class _TimedOut(msgspec.Struct, frozen=True):
     """Nothing came in time."""
 
 
-_SILENT = _Silent()
+_TIMED_OUT = _TimedOut()
 
 
 class Attempt:
-    """Runs one attempt; the pieces come from `run`, then `result` is set.
+    """Runs one attempt: `run` yields the answer and then sets `result`.
 
-    `ask` is what the decisions see of the request, with the time that is
-    left for this attempt.
+    `requirements` is what the placement policy sees of the request, with
+    the time that is left for this attempt.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         *,
         req: request.Request,
         number: types.Attempt,
-        ask: endpoint_view.Requirements,
+        requirements: endpoint_view.Requirements,
         offset: int,
         pool: pool_mod.Pool,
         policy: placement.Policy,
@@ -63,19 +63,19 @@
         traces: trace_mod.Traces,
         revision: types.Revision,
         priority: int,
-        kept: outcome.Kept | None = None,
+        retained_kv: outcome.RetainedKvCache | None = None,
     ) -> None:
-        self._kept = kept
+        self._retained_kv = retained_kv
         self.req = req
         self.number = number
-        self.result: outcome.Result = outcome.Refused(
+        self.result: outcome.Result = outcome.RefusedAttempt(
             types.Refusal.NO_ENDPOINT
         )
         # Whether an endpoint may have had any of it.
-        self.touched = False
+        self.handed_over = False
         self.refusals = 0
         self.excluded: set[types.AgentId] = set()
-        self._ask = ask
+        self._requirements = requirements
         self._offset = offset
         self._pool = pool
         self._policy = policy
@@ -85,8 +85,8 @@
         self._priority = priority
         self._inbox: asyncio.Queue[msgspec.Struct] = asyncio.Queue()
         self._loop = asyncio.get_running_loop()
-        self._began = self._loop.time()
-        self._used: dict[types.AgentId, pool_mod.Peer] = {}
+        self._started_at = self._loop.time()
+        self._active_peers: dict[types.AgentId, pool_mod.Peer] = {}
         self._granted: dict[types.Role, messages.Granted] = {}
         self._agents: dict[types.Role, types.AgentId] = {}
 
@@ -94,17 +94,17 @@
 
     def receive(self, agent: types.AgentId, msg: msgspec.Struct) -> bool:
         """Take a message of this attempt; False if it was not expected."""
-        if agent not in self._used:
+        if agent not in self._active_peers:
             return False
         self._inbox.put_nowait(msg)
         return True
 
-    def lost(self, agent: types.AgentId) -> None:
+    def handle_link_lost(self, agent: types.AgentId) -> None:
         """The link to an agent of this attempt is gone."""
-        if agent in self._used:
-            self._inbox.put_nowait(_Gone(agent=agent))
+        if agent in self._active_peers:
+            self._inbox.put_nowait(_LinkLost(agent=agent))
 
-    def holder(self) -> pool_mod.Peer | None:
+    def answering_peer(self) -> pool_mod.Peer | None:
         """The agent that will give the answer, once reserved."""
         agent = self._agents.get(self._answering_role)
         return self._pool.peer(agent) if agent is not None else None
@@ -127,58 +127,62 @@
         """Get every part promised; None, or why it can't be."""
         while True:
             plan = self._policy.place(
-                requirements=self._ask,
+                requirements=self._requirements,
                 pool=self._pool.views_of(self.req.service),
                 now=self._loop.time(),
                 excluded=self.excluded,
             )
             if isinstance(plan, types.Refusal):
                 return plan
-            self._note(
+            self._record_step(
                 "placed",
                 plan.decode,
                 f"prefill at {plan.prefill}, first token expected in "
                 f"{plan.ttft_s:.3f} s",
             )
-            reason = await self._ask_agents(plan)
+            reason = await self._reserve_at_agents(plan)
             if reason is None:
                 return None
             self.refusals += 1
             if self.refusals >= MAX_REFUSALS:
                 return reason
 
-    def _note(self, what: str, agent: str = "", detail: str = "") -> None:
-        self._traces.note(self.req.req, what, agent=agent, detail=detail)
+    def _record_step(
+        self, what: str, agent: str = "", detail: str = ""
+    ) -> None:
+        self._traces.record_step(
+            self.req.req, what, agent=agent, detail=detail
+        )
 
-    async def _ask_agents(
+    async def _reserve_at_agents(
         self, plan: placement.Placement
     ) -> types.Refusal | None:
         waiting: dict[types.AgentId, types.Role] = {}
-        for role, agent in self._parts(plan):
+        for role, agent in self._roles_to_reserve(plan):
             if role in self._granted:
                 continue
             if not self._send_reserve(role, agent, plan):
                 return types.Refusal.LINK_LOST
             waiting[agent] = role
         reason: types.Refusal | None = None
-        until = self._loop.time() + REPLY_S
+        until = self._loop.time() + REPLY_TIMEOUT_S
         while waiting:
-            msg = await self._next(until - self._loop.time())
-            if isinstance(msg, _Silent):
+            msg = await self._next_message(until - self._loop.time())
+            if isinstance(msg, _TimedOut):
                 for agent in waiting:
-                    self._drop(agent)
+                    self._exclude(agent)
                 return types.Refusal.NO_REPLY
-            why = self._take_reply(msg, waiting)
+            why = self._handle_reply(msg, waiting)
             reason = reason or why
         return reason
 
-    def _parts(
+    def _roles_to_reserve(
         self, plan: placement.Placement
     ) -> list[tuple[types.Role, types.AgentId]]:
         if self.req.plain is not None:
             return [(types.Role.PLAIN, plan.decode)]
         parts = [(types.Role.DECODE, plan.decode)]
-        if plan.prefill is not None and self._kept is None:
+        if plan.prefill is not None and self._retained_kv is None:
             parts.append((types.Role.PREFILL, plan.prefill))
         return parts
 
@@ -192,18 +196,18 @@
         if peer is None:
             self.excluded.add(agent)
             return False
-        ask = self._ask
+        ask = self._requirements
         load = peer.view.load
         # A second try has what the first one has left.
-        left = ask.ttft_s - (self._loop.time() - self._began)
+        left = ask.ttft_s - (self._loop.time() - self._started_at)
         left -= 2 * peer.view.delay_s
         if role is not types.Role.PLAIN:
             left -= load.step_s
         if role is types.Role.PREFILL:
             left -= ask.kv_bytes / load.link_bytes_s
-        self._used[agent] = peer
+        self._active_peers[agent] = peer
         self._agents[role] = agent
-        self._note_sent(role, peer)
+        self._record_reservation(role, peer)
         peer.conn.send(
             messages.Reserve(
                 req=self.req.req,
@@ -234,18 +238,20 @@
         )
         return True
 
-    def _note_sent(self, role: types.Role, peer: pool_mod.Peer) -> None:
+    def _record_reservation(
+        self, role: types.Role, peer: pool_mod.Peer
+    ) -> None:
         view = peer.view
         now = self._loop.time()
-        self._pool.health.of(view.agent).record_attempt(now)
+        self._pool.circuit_breakers.of(view.agent).record_attempt(now)
         if role is types.Role.PREFILL:
             view.sent_work_s += view.prefill_s(
-                self._ask.prompt_tokens, self._ask.blocks
+                self._requirements.prompt_tokens, self._requirements.blocks
             )
         else:
             view.sent_slots += 1
 
-    def _take_reply(
+    def _handle_reply(
         self,
         msg: msgspec.Struct,
         waiting: dict[types.AgentId, types.Role],
@@ -254,28 +260,28 @@
             agent = self._agents[msg.part]
             waiting.pop(agent, None)
             self._granted[msg.part] = msg
-            self._note("promised", agent, f"in {msg.ready_in_s:.3f} s")
+            self._record_step("promised", agent, f"in {msg.ready_in_s:.3f} s")
             return None
         if isinstance(msg, messages.Refused):
             agent = self._agents[msg.part]
             waiting.pop(agent, None)
-            self._drop(agent)
-            self._note("refused", agent, msg.reason.value)
+            self._exclude(agent)
+            self._record_step("refused", agent, msg.reason.value)
             return msg.reason
-        if isinstance(msg, _Gone):
+        if isinstance(msg, _LinkLost):
             if waiting.pop(msg.agent, None) is not None:
-                self._drop(msg.agent)
+                self._exclude(msg.agent)
                 return types.Refusal.LINK_LOST
             for role, agent in self._agents.items():
                 if agent == msg.agent:
                     self._granted.pop(role, None)
-            self._drop(msg.agent)
+            self._exclude(msg.agent)
             return types.Refusal.LINK_LOST
         return None
 
-    def _drop(self, agent: types.AgentId) -> None:
+    def _exclude(self, agent: types.AgentId) -> None:
         self.excluded.add(agent)
-        peer = self._used.pop(agent, None)
+        peer = self._active_peers.pop(agent, None)
         if peer is not None:
             self._send_release(peer)
 
@@ -283,12 +289,12 @@
 
     async def run(self) -> AsyncGenerator[request.Event, None]:
         """Run what was reserved; yields the answer's pieces."""
-        self.touched = True
+        self.handed_over = True
         if self.req.plain is not None:
             self._send_call()
             role = types.Role.PLAIN
         else:
-            if self._kept is None:
+            if self._retained_kv is None:
                 broken = await self._prefill()
                 if broken is not None:
                     self.result = broken
@@ -300,10 +306,10 @@
             async for event in events:
                 yield event
 
-    async def _prefill(self) -> outcome.Broken | None:
+    async def _prefill(self) -> outcome.FailedAttempt | None:
         agent = self._agents[types.Role.PREFILL]
         await self._wait_for_slot()
-        peer = self._used[agent]
+        peer = self._active_peers[agent]
         sent_at = self._loop.time()
         peer.conn.send(
             messages.RunPrefill(
@@ -311,44 +317,48 @@
             )
         )
         expected = self._granted[types.Role.PREFILL].ready_in_s
-        until = sent_at + _AGENT_SILENT_S
+        until = sent_at + _AGENT_TIMEOUT_S
         while True:
-            msg = await self._next(until - self._loop.time())
+            msg = await self._next_message(until - self._loop.time())
             if isinstance(msg, messages.PrefillDone):
-                self._used.pop(agent, None)
+                self._active_peers.pop(agent, None)
                 took = self._loop.time() - sent_at
-                self._went_well(agent, took, expected)
-                self._note("prefilled", agent, f"{msg.cached_tokens} cached")
+                self._record_success(agent, took, expected)
+                self._record_step(
+                    "prefilled", agent, f"{msg.cached_tokens} cached"
+                )
                 peer.view.prefix_hints.add(self.req.blocks)
-                self._kept = outcome.Kept(msg.kv, self._loop.time())
+                self._retained_kv = outcome.RetainedKvCache(
+                    msg.kv, self._loop.time()
+                )
                 return None
-            broken = self._broken(msg)
+            broken = self._failure_of(msg)
             if broken is not None:
                 return broken
 
     async def _wait_for_slot(self) -> None:
         slot = self._granted[types.Role.DECODE].ready_in_s
         done = self._granted[types.Role.PREFILL].ready_in_s
-        early = slot - done - KEEP_S
+        early = slot - done - MAX_PREFILL_LEAD_S
         if early > 0.0:
             await asyncio.sleep(early)
 
     def _send_decode(self) -> None:
-        peer = self._used.get(self._agents[types.Role.DECODE])
-        if peer is None or self._kept is None:
+        peer = self._active_peers.get(self._agents[types.Role.DECODE])
+        if peer is None or self._retained_kv is None:
             return
         peer.conn.send(
             messages.RunDecode(
                 req=self.req.req,
                 attempt=self.number,
                 body=self.req.body,
-                kv=self._kept.kv,
+                kv=self._retained_kv.kv,
                 offset=self._offset,
             )
         )
 
     def _send_call(self) -> None:
-        peer = self._used.get(self._agents[types.Role.PLAIN])
+        peer = self._active_peers.get(self._agents[types.Role.PLAIN])
         call = self.req.plain
         if peer is None or call is None:
             return
@@ -371,19 +381,19 @@
         first = True
         sent_at = self._loop.time()
         while True:
-            msg = await self._next(_AGENT_SILENT_S)
+            msg = await self._next_message(_AGENT_TIMEOUT_S)
             if isinstance(msg, messages.Done):
-                self._used.pop(self._agents[role], None)
+                self._active_peers.pop(self._agents[role], None)
                 self.result = self._check_length(msg, at)
                 return
-            broken = self._broken(msg)
+            broken = self._failure_of(msg)
             if broken is not None:
                 self.result = broken
                 return
             if first:
                 first = False
-                self._note("first part", self._agents[role])
-                self._first_came(role, sent_at)
+                self._record_step("first part", self._agents[role])
+                self._record_first_event(role, sent_at)
             for event, size in self._events_of(msg, at):
                 yield event
                 at += size
@@ -392,21 +402,21 @@
 
     def _check_length(self, msg: messages.Done, at: int) -> outcome.Result:
         if msg.tokens == at:
-            return outcome.Whole(at)
+            return outcome.CompletedAttempt(at)
         self._metrics.count("dropped", types.Drop.GAP)
         agent = self._agents[self._answering_role]
-        return outcome.Broken(types.Failure.TRANSFER, True, agent)
+        return outcome.FailedAttempt(types.Failure.TRANSFER, True, agent)
 
-    def _first_came(self, role: types.Role, sent_at: float) -> None:
+    def _record_first_event(self, role: types.Role, sent_at: float) -> None:
         agent = self._agents[role]
         took = self._loop.time() - sent_at
         if role is types.Role.DECODE:
             load = self._granted[role].load
-            usual = self._ask.kv_bytes / load.link_bytes_s
+            usual = self._requirements.kv_bytes / load.link_bytes_s
             usual += load.step_s + self._granted[role].ready_in_s
         else:
             usual = took
-        self._went_well(agent, took, usual + 0.01)
+        self._record_success(agent, took, usual + 0.01)
 
     def _events_of(
         self, msg: msgspec.Struct, at: int
@@ -416,17 +426,17 @@
                 self._metrics.count("dropped", types.Drop.DOUBLE)
                 return
             for text in msg.pieces:
-                yield request.Piece(text=text), 1
+                yield request.TextChunk(text=text), 1
         elif isinstance(msg, messages.Head):
             yield request.PlainHead(status=msg.status, headers=msg.headers), 0
         elif isinstance(msg, messages.Body):
             if msg.offset != at:
                 self._metrics.count("dropped", types.Drop.DOUBLE)
                 return
-            yield request.PlainPart(data=msg.data), len(msg.data)
+            yield request.PlainChunk(data=msg.data), len(msg.data)
 
     def _send_credit(self, role: types.Role, taken: int) -> None:
-        peer = self._used.get(self._agents[role])
+        peer = self._active_peers.get(self._agents[role])
         if peer is not None:
             peer.conn.send(
                 messages.Credit(
@@ -434,41 +444,45 @@
                 )
             )
 
-    def _broken(self, msg: msgspec.Struct) -> outcome.Broken | None:
+    def _failure_of(self, msg: msgspec.Struct) -> outcome.FailedAttempt | None:
         if isinstance(msg, messages.Failed):
             agent = self._agents.get(msg.part)
             if agent is not None:
-                self._used.pop(agent, None)
-            kept = None if msg.ran else self._kept
-            self._note("broke", agent or "", msg.reason.value)
+                self._active_peers.pop(agent, None)
+            kept = None if msg.ran else self._retained_kv
+            self._record_step("broke", agent or "", msg.reason.value)
             if not msg.ran and msg.part is self._first_role:
                 # Sealed by its agent: nothing has begun anywhere.
-                self.touched = False
-            return outcome.Broken(msg.reason, msg.ran, agent, kept)
-        if isinstance(msg, _Gone):
-            self._used.pop(msg.agent, None)
-            return outcome.Broken(types.Failure.LINK_LOST, True, msg.agent)
-        if isinstance(msg, _Silent):
-            agent = next(iter(self._used), None)
-            return outcome.Broken(types.Failure.ENGINE_STALLED, True, agent)
-        if self._inbox.qsize() > MAX_WAITING_PIECES:
-            return outcome.Broken(types.Failure.SLOW_READER, True, None)
+                self.handed_over = False
+            return outcome.FailedAttempt(msg.reason, msg.ran, agent, kept)
+        if isinstance(msg, _LinkLost):
+            self._active_peers.pop(msg.agent, None)
+            return outcome.FailedAttempt(
+                types.Failure.LINK_LOST, True, msg.agent
+            )
+        if isinstance(msg, _TimedOut):
+            agent = next(iter(self._active_peers), None)
+            return outcome.FailedAttempt(
+                types.Failure.ENGINE_STALLED, True, agent
+            )
+        if self._inbox.qsize() > MAX_QUEUED_MESSAGES:
+            return outcome.FailedAttempt(types.Failure.SLOW_READER, True, None)
         return None
 
-    def _went_well(
+    def _record_success(
         self, agent: types.AgentId, took_s: float, predicted_s: float
     ) -> None:
-        self._pool.health.of(agent).record_success(
+        self._pool.circuit_breakers.of(agent).record_success(
             took_s=took_s, predicted_s=predicted_s, now=self._loop.time()
         )
 
-    async def _next(self, wait_s: float) -> msgspec.Struct:
+    async def _next_message(self, wait_s: float) -> msgspec.Struct:
         inbox = self._inbox
         if not inbox.empty():
             return inbox.get_nowait()
         # One timer is cheaper than a task for each wait.
         timer = self._loop.call_later(
-            max(0.0, wait_s), inbox.put_nowait, _SILENT
+            max(0.0, wait_s), inbox.put_nowait, _TIMED_OUT
         )
         try:
             return await inbox.get()
@@ -479,9 +493,9 @@
 
     def release(self) -> None:
         """Give back all that is still held for this attempt."""
-        for peer in self._used.values():
+        for peer in self._active_peers.values():
             self._send_release(peer)
-        self._used.clear()
+        self._active_peers.clear()
 
     def _send_release(self, peer: pool_mod.Peer) -> None:
         peer.conn.send(messages.Release(req=self.req.req, attempt=self.number))
--- a/rackpost/entry/ends.py
+++ b/rackpost/entry/attempt_result.py
@@ -6,28 +6,28 @@
 from rackpost.decide import retry
 from rackpost.decide import retry_after
 from rackpost.entry import attempt as attempt_mod
-from rackpost.entry import offers as offers_mod
+from rackpost.entry import crash_tracker
+from rackpost.entry import demand_tracker as demand_tracker_mod
 from rackpost.entry import open_request
 from rackpost.entry import outcome
 from rackpost.entry import pool as pool_mod
 from rackpost.entry import request
-from rackpost.entry import suspects
 from rackpost import metrics as metrics_mod
 from rackpost import types
 
-__all__ = ["Ends"]
+__all__ = ["AttemptResultHandler"]
 
 # When a refused caller may come back, where nothing better is known.
-_COME_BACK_S = 1.0
+_DEFAULT_RETRY_AFTER_S = 1.0
 # The key's own request may have run, or runs, under another attempt.
-_OTHERS_CLAIM = frozenset(
+_CLAIM_REFUSALS = frozenset(
     {
         types.Refusal.CLAIM_UNKNOWN,
         types.Refusal.CLAIM_RUNNING,
         types.Refusal.CLAIM_ANSWERED,
     }
 )
-_AGENTS_FAULT = frozenset(
+_AGENT_FAILURES = frozenset(
     {
         types.Failure.AGENT,
         types.Failure.ENGINE,
@@ -38,67 +38,67 @@
 )
 
 
-class Ends:
+class AttemptResultHandler:
     """Decides after each attempt, within the services' retry budgets."""
 
     def __init__(
         self,
         *,
         pool: pool_mod.Pool,
-        offers: offers_mod.Offers,
+        demand: demand_tracker_mod.DemandTracker,
         metrics: metrics_mod.Metrics,
         rng: random.Random,
     ) -> None:
         self._pool = pool
-        self._offers = offers
+        self._demand = demand
         self._metrics = metrics
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._suspects = suspects.Suspects()
+        self._crash_tracker = crash_tracker.CrashTracker()
         self._budgets: dict[types.ServiceName, retry.RetryBudget] = {}
 
-    def admitted(self, req: request.Request) -> None:
+    def record_request(self, req: request.Request) -> None:
         """A request is served, a share of which may be spent on retries."""
         self._budget(req.service).record_request(req.terms.retry_share)
 
-    def is_held(self, req: request.Request) -> bool:
+    def is_quarantined(self, req: request.Request) -> bool:
         """Whether a request is held back, as engines ended under it."""
-        return self._suspects.left_s(req, self._loop.time()) > 0.0
+        return self._crash_tracker.remaining_s(req, self._loop.time()) > 0.0
 
     def _budget(self, service: types.ServiceName) -> retry.RetryBudget:
         return self._budgets.setdefault(service, retry.RetryBudget())
 
-    async def after(
+    async def handle_result(
         self, item: open_request.OpenRequest, att: attempt_mod.Attempt
     ) -> request.End | None:
         """What the caller is told after an attempt; None to try again."""
         result = att.result
-        if isinstance(result, outcome.Whole):
-            self._suspects.answered(item.req, self._loop.time())
+        if isinstance(result, outcome.CompletedAttempt):
+            self._crash_tracker.record_answer(item.req, self._loop.time())
             self._metrics.count(
                 "requests", types.Outcome.ANSWERED, item.req.kind
             )
             return request.End(
                 outcome=types.Outcome.ANSWERED, tokens=result.length
             )
-        if isinstance(result, outcome.Refused):
-            return self.refuse_reserved(item, result.reason)
-        return await self._after_break(item, att, result)
+        if isinstance(result, outcome.RefusedAttempt):
+            return self.refuse_attempt(item, result.reason)
+        return await self._handle_failure(item, att, result)
 
-    async def _after_break(
+    async def _handle_failure(
         self,
         item: open_request.OpenRequest,
         att: attempt_mod.Attempt,
-        broken: outcome.Broken,
+        broken: outcome.FailedAttempt,
     ) -> request.End | None:
-        if broken.agent is not None and broken.reason in _AGENTS_FAULT:
-            self._pool.health.of(broken.agent).record_failure(
+        if broken.agent is not None and broken.reason in _AGENT_FAILURES:
+            self._pool.circuit_breakers.of(broken.agent).record_failure(
                 self._loop.time()
             )
             att.excluded.add(broken.agent)
         now = self._loop.time()
-        self._suspects.broke(item.req, broken, now)
-        if self._suspects.left_s(item.req, now) > 0.0:
+        self._crash_tracker.record_failure(item.req, broken, now)
+        if self._crash_tracker.remaining_s(item.req, now) > 0.0:
             return self.refuse(
                 item.req, types.Refusal.ENDS_ENGINES, types.Outcome.UNKNOWN
             )
@@ -111,10 +111,10 @@
             reason=broken.reason,
             ran=broken.ran,
             stage=stage,
-            attempts=item.number,
+            attempts=item.attempt_number,
             repeat=item.req.terms.repeat,
-            left_s=item.left_s(now),
-            needed_s=self._needed_s(item, kept=broken.kept is not None),
+            left_s=item.remaining_s(now),
+            needed_s=self._needed_s(item, kept=broken.retained_kv is not None),
             budget=self._budget(item.req.service),
             rng=self._rng,
         )
@@ -124,7 +124,7 @@
             return request.End(
                 outcome=verdict.outcome,
                 reason=verdict.reason,
-                retry_in_s=_COME_BACK_S,
+                retry_in_s=_DEFAULT_RETRY_AFTER_S,
                 tokens=item.delivered,
             )
         self._metrics.count("retried", broken.reason, item.req.kind)
@@ -144,12 +144,12 @@
             for view in views_
         )
 
-    def refuse_reserved(
+    def refuse_attempt(
         self, item: open_request.OpenRequest, reason: types.Refusal
     ) -> request.End:
         """Tell that no endpoint took it, now or at an earlier attempt."""
         outcome = types.Outcome.NOT_RUN
-        if item.handed_over or reason in _OTHERS_CLAIM:
+        if item.handed_over or reason in _CLAIM_REFUSALS:
             # An earlier attempt may have run, whatever became of this.
             outcome = types.Outcome.UNKNOWN
         return self.refuse(item.req, reason, outcome)
@@ -166,13 +166,15 @@
         return request.End(
             outcome=outcome,
             reason=reason,
-            retry_in_s=self._come_back(req, reason),
+            retry_in_s=self._retry_after_s(req, reason),
         )
 
-    def _come_back(self, req: request.Request, reason: types.Refusal) -> float:
+    def _retry_after_s(
+        self, req: request.Request, reason: types.Refusal
+    ) -> float:
         now = self._loop.time()
         if reason is types.Refusal.ENDS_ENGINES:
-            return self._suspects.left_s(req, now)
+            return self._crash_tracker.remaining_s(req, now)
         backlogs = [
             view.backlog_s(now)
             for view in self._pool.views_of(req.service)
@@ -181,5 +183,7 @@
         return retry_after.delay_s(
             reason,
             backlog_s=min(backlogs, default=0.0),
-            higher_density_load=self._offers.last_denser(req.service),
+            higher_density_load=self._demand.last_higher_density_load(
+                req.service
+            ),
         )
--- a/rackpost/entry/claiming.py
+++ b/rackpost/entry/claiming.py
@@ -14,7 +14,7 @@
 from rackpost import types
 
 
-class _Past(enum.Enum):
+class _HolderStatus(enum.Enum):
     """What became of an attempt that holds a key."""
 
     FREE = "free"
@@ -22,20 +22,20 @@
     UNKNOWN = "unknown"
 
 
-_REFUSALS = {
+_REFUSAL_BY_STATE = {
     claims_mod.ClaimState.RUNNING: types.Refusal.CLAIM_RUNNING,
     claims_mod.ClaimState.ANSWERED: types.Refusal.CLAIM_ANSWERED,
     claims_mod.ClaimState.UNKNOWN: types.Refusal.CLAIM_UNKNOWN,
 }
 
 
-class Answered(NamedTuple):
+class AlreadyAnswered(NamedTuple):
     """The key was answered by this attempt."""
 
     holder: claims_mod.Holder
 
 
-class Claiming:
+class ClaimResolver:
     """Claims keys at control, and asks agents about their holders."""
 
     def __init__(
@@ -44,21 +44,21 @@
         self._claims = claims
         self._pool = pool
         self._loop = asyncio.get_running_loop()
-        self._fetching: dict[
+        self._pending_fetches: dict[
             tuple[types.RequestId, types.Attempt],
             asyncio.Future[messages.Held],
         ] = {}
-        self._sealing: dict[
+        self._pending_seals: dict[
             tuple[types.RequestId, types.Attempt],
             asyncio.Future[messages.Sealed],
         ] = {}
 
     async def claim(
         self, req: request.Request, att: attempt_mod.Attempt
-    ) -> claims_mod.Holder | Answered | types.Refusal:
+    ) -> claims_mod.Holder | AlreadyAnswered | types.Refusal:
         """Claim a request's key for a reserved attempt, or say why not."""
         assert req.claim is not None
-        peer = att.holder()
+        peer = att.answering_peer()
         if peer is None:
             return types.Refusal.LINK_LOST
         mine = claims_mod.Holder(
@@ -67,14 +67,16 @@
         try:
             reply = await self._claims.claim(key=req.claim, holder=mine)
             if reply.state is claims_mod.ClaimState.RUNNING and reply.holder:
-                reply = await self._ask_holder(req, mine, reply.holder)
+                reply = await self._resolve_holder(req, mine, reply.holder)
         except exceptions.ControlError:
             return types.Refusal.CONTROL_AWAY
         if reply.state is claims_mod.ClaimState.ANSWERED and reply.holder:
-            return Answered(reply.holder)
-        return _REFUSALS.get(reply.state, mine)
+            return AlreadyAnswered(reply.holder)
+        return _REFUSAL_BY_STATE.get(reply.state, mine)
 
-    async def held(self, answered: Answered) -> list[request.Event]:
+    async def fetch_answer(
+        self, answered: AlreadyAnswered
+    ) -> list[request.Event]:
         """What an answered attempt gave; nothing if it is not held."""
         holder = answered.holder
         peer = self._pool.peer(holder.agent)
@@ -82,23 +84,23 @@
             return []
         key = (holder.req, holder.attempt)
         fut: asyncio.Future[messages.Held] = self._loop.create_future()
-        self._fetching[key] = fut
+        self._pending_fetches[key] = fut
         peer.conn.send(messages.Fetch(req=key[0], attempt=key[1]))
         try:
-            async with asyncio.timeout(attempt_mod.REPLY_S):
+            async with asyncio.timeout(attempt_mod.REPLY_TIMEOUT_S):
                 return _events_of(await fut)
         except TimeoutError:
             return []
         finally:
-            self._fetching.pop(key, None)
+            self._pending_fetches.pop(key, None)
 
-    def on_held(self, msg: messages.Held) -> None:
+    def handle_held(self, msg: messages.Held) -> None:
         """An agent answers a fetch."""
-        fut = self._fetching.get((msg.req, msg.attempt))
+        fut = self._pending_fetches.get((msg.req, msg.attempt))
         if fut is not None and not fut.done():
             fut.set_result(msg)
 
-    async def _ask_holder(
+    async def _resolve_holder(
         self,
         req: request.Request,
         mine: claims_mod.Holder,
@@ -106,18 +108,18 @@
     ) -> claims_mod.ClaimReply:
         """Free the key if its holder never ran, and claim it again."""
         assert req.claim is not None
-        past = await self._past(theirs, req.terms.repeat)
-        if past is _Past.RUNNING:
+        past = await self._holder_status(theirs, req.terms.repeat)
+        if past is _HolderStatus.RUNNING:
             return claims_mod.ClaimReply(claims_mod.ClaimState.RUNNING)
         state = None
-        if past is _Past.UNKNOWN:
+        if past is _HolderStatus.UNKNOWN:
             state = claims_mod.ClaimState.UNKNOWN
         await self._claims.settle(key=req.claim, holder=theirs, state=state)
         return await self._claims.claim(key=req.claim, holder=mine)
 
-    async def _past(
+    async def _holder_status(
         self, holder: claims_mod.Holder, repeat: types.RepeatClass
-    ) -> _Past:
+    ) -> _HolderStatus:
         """Have an attempt sealed, and learn what became of it.
 
         Its key is free if it never ran; and for a kind that may be tried
@@ -126,35 +128,35 @@
         peer = self._pool.peer(holder.agent)
         if peer is None:
             # Not linked at present: nothing is known, and it may run.
-            return _Past.RUNNING
+            return _HolderStatus.RUNNING
         if peer.incarnation != holder.incarnation:
-            return _Past.UNKNOWN
+            return _HolderStatus.UNKNOWN
         sealed = await self._seal(peer, holder)
         if sealed is None or sealed.running:
-            return _Past.RUNNING
+            return _HolderStatus.RUNNING
         single = repeat is types.RepeatClass.SINGLE
         if not sealed.ran or (single and not sealed.whole):
-            return _Past.FREE
-        return _Past.UNKNOWN
+            return _HolderStatus.FREE
+        return _HolderStatus.UNKNOWN
 
     async def _seal(
         self, peer: pool_mod.Peer, holder: claims_mod.Holder
     ) -> messages.Sealed | None:
         fut: asyncio.Future[messages.Sealed] = self._loop.create_future()
         key = (holder.req, holder.attempt)
-        self._sealing[key] = fut
+        self._pending_seals[key] = fut
         peer.conn.send(messages.Seal(req=holder.req, attempt=holder.attempt))
         try:
-            async with asyncio.timeout(attempt_mod.REPLY_S):
+            async with asyncio.timeout(attempt_mod.REPLY_TIMEOUT_S):
                 return await fut
         except TimeoutError:
             return None
         finally:
-            self._sealing.pop(key, None)
+            self._pending_seals.pop(key, None)
 
-    def on_sealed(self, msg: messages.Sealed) -> None:
+    def handle_sealed(self, msg: messages.Sealed) -> None:
         """An agent answers a seal."""
-        fut = self._sealing.get((msg.req, msg.attempt))
+        fut = self._pending_seals.get((msg.req, msg.attempt))
         if fut is not None and not fut.done():
             fut.set_result(msg)
 
@@ -167,9 +169,9 @@
         """Tell control how a claimed attempt ended."""
         assert req.claim is not None
         state: claims_mod.ClaimState | None = claims_mod.ClaimState.UNKNOWN
-        if isinstance(result, outcome.Whole):
+        if isinstance(result, outcome.CompletedAttempt):
             state = claims_mod.ClaimState.ANSWERED
-        elif isinstance(result, outcome.Broken):
+        elif isinstance(result, outcome.FailedAttempt):
             # Of what broke, only what an agent has sealed may run again
             # under this key; a kind that may repeat inside is freed too,
             # as this entry alone decides on its next attempt.
@@ -185,5 +187,5 @@
     end = request.End(outcome=types.Outcome.ANSWERED, tokens=len(held.pieces))
     if held.status:
         head = request.PlainHead(status=held.status, headers=held.headers)
-        return [head, request.PlainPart(data=held.body), end]
-    return [*(request.Piece(text=text) for text in held.pieces), end]
+        return [head, request.PlainChunk(data=held.body), end]
+    return [*(request.TextChunk(text=text) for text in held.pieces), end]
--- a/rackpost/entry/control_claims.py
+++ b/rackpost/entry/control_claims.py
@@ -11,11 +11,11 @@
 from rackpost import types
 
 _MAX_BATCH = 256
-_SETTLE_TRIES = 5
-_SETTLE_PAUSE_S = 0.2
+_SETTLE_ATTEMPTS = 5
+_RETRY_INTERVAL_S = 0.2
 
 
-class _Waiting:
+class _PendingClaim:
     """A claim that waits for the next batch."""
 
     def __init__(self, *, item: commands.ClaimOne) -> None:
@@ -38,9 +38,9 @@
     ) -> None:
         self._client = client
         self._now = now
-        self._claims: list[_Waiting] = []
-        self._settled: list[commands.SettleOne] = []
-        self._more = asyncio.Event()
+        self._pending_claims: list[_PendingClaim] = []
+        self._pending_settlements: list[commands.SettleOne] = []
+        self._has_pending = asyncio.Event()
 
     async def claim(
         self, *, key: types.ClaimKey, holder: claims.Holder
@@ -53,9 +53,9 @@
             req=holder.req,
             attempt=holder.attempt,
         )
-        waiting = _Waiting(item=item)
-        self._claims.append(waiting)
-        self._more.set()
+        waiting = _PendingClaim(item=item)
+        self._pending_claims.append(waiting)
+        self._has_pending.set()
         return await waiting.fut
 
     async def settle(
@@ -67,26 +67,26 @@
     ) -> None:
         """Say in the next batch how an attempt ended."""
         word = "sealed" if state is None else state.value
-        self._settled.append(
+        self._pending_settlements.append(
             commands.SettleOne(
                 key=key, req=holder.req, attempt=holder.attempt, state=word
             )
         )
-        self._more.set()
+        self._has_pending.set()
 
     async def run(self) -> None:
         """Send batches until cancelled."""
         while True:
-            await self._more.wait()
-            self._more.clear()
-            while self._claims or self._settled:
+            await self._has_pending.wait()
+            self._has_pending.clear()
+            while self._pending_claims or self._pending_settlements:
                 await self._send_batch()
 
     async def _send_batch(self) -> None:
-        batch = self._claims[:_MAX_BATCH]
-        settled = self._settled[:_MAX_BATCH]
-        del self._claims[:_MAX_BATCH]
-        del self._settled[:_MAX_BATCH]
+        batch = self._pending_claims[:_MAX_BATCH]
+        settled = self._pending_settlements[:_MAX_BATCH]
+        del self._pending_claims[:_MAX_BATCH]
+        del self._pending_settlements[:_MAX_BATCH]
         now = self._now()
         keep = self._client.in_force.tree.value(
             "", "", "", "claim_keep_s", now
@@ -98,27 +98,27 @@
             settled=tuple(settled),
         )
         try:
-            result = await self._ask(cmd, patient=not batch)
+            result = await self._submit(cmd, retry=not batch)
         except exceptions.ControlError as exc:
             for item in batch:
                 if not item.fut.done():
                     item.fut.set_exception(exc)
             # How an attempt ended must not be lost: it goes again.
-            self._settled = settled + self._settled
-            await asyncio.sleep(_SETTLE_PAUSE_S)
+            self._pending_settlements = settled + self._pending_settlements
+            await asyncio.sleep(_RETRY_INTERVAL_S)
             return
         assert isinstance(result, commands.ClaimResults)
         for item, state, held in zip(batch, result.states, result.holders):
             if not item.fut.done():
                 item.fut.set_result(_reply(state, held))
 
-    async def _ask(
-        self, cmd: commands.ClaimBatch, *, patient: bool
+    async def _submit(
+        self, cmd: commands.ClaimBatch, *, retry: bool
     ) -> commands.Result:
-        for _ in range(_SETTLE_TRIES if patient else 1):
+        for _ in range(_SETTLE_ATTEMPTS if retry else 1):
             with contextlib.suppress(exceptions.ControlError):
                 return await self._client.ask(cmd)
-            await asyncio.sleep(_SETTLE_PAUSE_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
         # The same batch again gives the same holder the same grant.
         return await self._client.ask(cmd)
 
--- a/rackpost/entry/core.py
+++ b/rackpost/entry/core.py
@@ -15,10 +15,10 @@
 from rackpost.decide import endpoint_view
 from rackpost.decide import placement
 from rackpost.entry import attempt as attempt_mod
+from rackpost.entry import attempt_result as attempt_result_mod
 from rackpost.entry import claiming
 from rackpost.entry import claims as claims_mod
-from rackpost.entry import ends as ends_mod
-from rackpost.entry import offers
+from rackpost.entry import demand_tracker
 from rackpost.entry import open_request
 from rackpost.entry import outcome
 from rackpost.entry import pool as pool_mod
@@ -30,13 +30,13 @@
 from rackpost import types
 
 # Requests of all callers that one entry holds at once.
-MAX_OPEN = 4096
+MAX_OPEN_REQUESTS = 4096
 # A KV cache that was not fetched is used by another decode endpoint if it
 # is not older than this; engines keep it for less than a second.
-_REUSE_S = 0.4
+_MAX_KV_REUSE_AGE_S = 0.4
 
 
-class InForce:
+class SettingsSource:
     """The settings that the entry runs on, as far as agents matter.
 
     The base knows of none; a process's own knows its link to control.
@@ -46,10 +46,10 @@
         """The revision that is in force here."""
         return types.Revision(0)
 
-    def behind(self, revision: types.Revision) -> None:
+    def catch_up_to(self, revision: types.Revision) -> None:
         """A peer runs on `revision`; fetch it if it is newer."""
 
-    def members(
+    def member_count(
         self, service: types.ServiceName, role: types.Role
     ) -> int | None:
         """How many endpoints the site has; None where that is not known.
@@ -64,13 +64,13 @@
 
     entry: types.EntryId
     data_centre: types.DataCentre
-    max_open: int = MAX_OPEN
+    max_open: int = MAX_OPEN_REQUESTS
 
 
 class Entry:
     """Serves requests over the agents that it is linked to.
 
-    `entries` tells how many entries the site has at present, `events`
+    `entry_count` tells how many entries the site has at present, `events`
     what is declared for a service, `wall` seconds since the epoch.
     """
 
@@ -83,17 +83,17 @@
         claims: claims_mod.Claims | None = None,
         metrics: metrics_mod.Metrics | None = None,
         rng: random.Random,
-        entries: Callable[[], int] = lambda: 1,
-        events: offers.Events = lambda service: (),
-        in_force: InForce | None = None,
+        entry_count: Callable[[], int] = lambda: 1,
+        events: demand_tracker.DeclaredEvents = lambda service: (),
+        settings: SettingsSource | None = None,
         wall: Callable[[], float] = time.time,
     ) -> None:
         self.cfg = cfg
-        self._in_force = in_force or InForce()
-        self.offers = offers.Offers(
-            entries=entries,
+        self._settings = settings or SettingsSource()
+        self.demand = demand_tracker.DemandTracker(
+            entries=entry_count,
             events=events,
-            members=self._in_force.members,
+            members=self._settings.member_count,
             wall=wall,
         )
         self.metrics = metrics or metrics_mod.Metrics()
@@ -103,14 +103,16 @@
             False: models,
             True: plain,
         }
-        self._claiming: claiming.Claiming | None = None
+        self._claim_resolver: claiming.ClaimResolver | None = None
         if claims is not None:
-            self._claiming = claiming.Claiming(claims=claims, pool=self.pool)
+            self._claim_resolver = claiming.ClaimResolver(
+                claims=claims, pool=self.pool
+            )
         self._loop = asyncio.get_running_loop()
         self._open: dict[types.RequestId, open_request.OpenRequest] = {}
         self._by_caller: dict[types.CallerId, int] = {}
-        self._ends = ends_mod.Ends(
-            pool=self.pool, offers=self.offers, metrics=self.metrics, rng=rng
+        self._result_handler = attempt_result_mod.AttemptResultHandler(
+            pool=self.pool, demand=self.demand, metrics=self.metrics, rng=rng
         )
         self._stopping = False
         self._idle = asyncio.Event()
@@ -132,7 +134,7 @@
                 peer=self.cfg.entry,
                 incarnation=types.Incarnation(0),
                 data_centre=self.cfg.data_centre,
-                revision=self._in_force.revision(),
+                revision=self._settings.revision(),
             )
         )
 
@@ -142,26 +144,28 @@
             self.pool.remove(agent)
         for item in list(self._open.values()):
             if item.attempt is not None:
-                item.attempt.lost(agent)
+                item.attempt.handle_link_lost(agent)
 
     def _on_message(self, peer: pool_mod.Peer, msg: msgspec.Struct) -> None:
         agent = peer.member.agent
         load = getattr(msg, "load", None)
         if load is not None:
-            self.pool.learn(agent, load)
-            self._in_force.behind(load.revision)
+            self.pool.update_load(agent, load)
+            self._settings.catch_up_to(load.revision)
         if isinstance(msg, messages.Hello):
             peer.incarnation = msg.incarnation
         elif isinstance(msg, messages.Sealed):
-            if self._claiming is not None:
-                self._claiming.on_sealed(msg)
+            if self._claim_resolver is not None:
+                self._claim_resolver.handle_sealed(msg)
         elif isinstance(msg, messages.Held):
-            if self._claiming is not None:
-                self._claiming.on_held(msg)
+            if self._claim_resolver is not None:
+                self._claim_resolver.handle_held(msg)
         elif not isinstance(msg, messages.Summary):
-            self._on_answer(peer, msg)
+            self._on_attempt_message(peer, msg)
 
-    def _on_answer(self, peer: pool_mod.Peer, msg: msgspec.Struct) -> None:
+    def _on_attempt_message(
+        self, peer: pool_mod.Peer, msg: msgspec.Struct
+    ) -> None:
         req = getattr(msg, "req")
         number = getattr(msg, "attempt")
         item = self._open.get(req)
@@ -202,38 +206,38 @@
         Closing the generator early, as when the caller is gone, releases
         all that is held for the request.
         """
-        self.traces.begin(
+        self.traces.start(
             req=req.req,
             caller=req.caller,
             service=req.service,
             kind=req.kind,
         )
-        reason = self._turn_away(req)
+        reason = self._admission_refusal(req)
         if reason is not None:
-            yield self._ends.refuse(req, reason)
+            yield self._result_handler.refuse(req, reason)
             return
-        with self._opened(req) as item:
+        with self._track_open(req) as item:
             async with contextlib.aclosing(self._serve(item)) as events:
                 async for event in events:
                     self._observe(item, event)
                     yield event
 
-    def _turn_away(self, req: request.Request) -> types.Refusal | None:
+    def _admission_refusal(self, req: request.Request) -> types.Refusal | None:
         if self._stopping:
             return types.Refusal.ENTRY_STOPPING
         if len(self._open) >= self.cfg.max_open:
             return types.Refusal.ENTRY_FULL
         if self._by_caller.get(req.caller, 0) >= req.terms.max_open:
             return types.Refusal.CALLER_OPEN_LIMIT
-        if self._ends.is_held(req):
+        if self._result_handler.is_quarantined(req):
             return types.Refusal.ENDS_ENGINES
         return None
 
     @contextlib.contextmanager
-    def _opened(
+    def _track_open(
         self, req: request.Request
     ) -> Iterator[open_request.OpenRequest]:
-        item = open_request.OpenRequest(req=req, began=self._loop.time())
+        item = open_request.OpenRequest(req=req, started_at=self._loop.time())
         self._open[req.req] = item
         self._by_caller[req.caller] = self._by_caller.get(req.caller, 0) + 1
         self._idle.clear()
@@ -253,8 +257,10 @@
         self, item: open_request.OpenRequest
     ) -> AsyncGenerator[request.Event, None]:
         req = item.req
-        self._ends.admitted(req)
-        denser = self.offers.denser(req, self.pool.views_of(req.service))
+        self._result_handler.record_request(req)
+        denser = self.demand.record_request(
+            req, self.pool.views_of(req.service)
+        )
         while True:
             att = self._new_attempt(item, denser)
             reason = await att.reserve()
@@ -262,10 +268,10 @@
                 reason = await self._claim(item, att)
             if reason is not None:
                 att.release()
-                for event in item.held:
+                for event in item.stored_answer:
                     yield event
-                if not item.held:
-                    yield self._ends.refuse_reserved(item, reason)
+                if not item.stored_answer:
+                    yield self._result_handler.refuse_attempt(item, reason)
                 return
             async with contextlib.aclosing(att.run()) as events:
                 async for event in events:
@@ -273,11 +279,16 @@
                         item.delivered += 1
                     yield event
             att.release()
-            item.handed_over = item.handed_over or att.touched
-            if self._claiming is not None and item.claimed is not None:
-                await self._claiming.settle(req, item.claimed, att.result)
-                item.claimed = None
-            end = await self._ends.after(item, att)
+            item.handed_over = item.handed_over or att.handed_over
+            if (
+                self._claim_resolver is not None
+                and item.claim_holder is not None
+            ):
+                await self._claim_resolver.settle(
+                    req, item.claim_holder, att.result
+                )
+                item.claim_holder = None
+            end = await self._result_handler.handle_result(item, att)
             if end is not None:
                 yield end
                 return
@@ -285,15 +296,15 @@
     async def _claim(
         self, item: open_request.OpenRequest, att: attempt_mod.Attempt
     ) -> types.Refusal | None:
-        if item.req.claim is None or self._claiming is None:
+        if item.req.claim is None or self._claim_resolver is None:
             return None
-        found = await self._claiming.claim(item.req, att)
+        found = await self._claim_resolver.claim(item.req, att)
         if isinstance(found, types.Refusal):
             return found
-        if isinstance(found, claiming.Answered):
-            item.held = await self._claiming.held(found)
+        if isinstance(found, claiming.AlreadyAnswered):
+            item.stored_answer = await self._claim_resolver.fetch_answer(found)
             return types.Refusal.CLAIM_ANSWERED
-        item.claimed = found
+        item.claim_holder = found
         return None
 
     def _new_attempt(
@@ -302,38 +313,43 @@
         denser: demand.HigherDensityDemand,
     ) -> attempt_mod.Attempt:
         req = item.req
-        item.number += 1
+        item.attempt_number += 1
         excluded: set[types.AgentId] = set()
-        kept: outcome.Kept | None = None
+        kept: outcome.RetainedKvCache | None = None
         if item.attempt is not None:
             excluded = item.attempt.excluded
-            kept = self._still_kept(item.attempt.result)
+            kept = self._reusable_kv(item.attempt.result)
         att = attempt_mod.Attempt(
             req=req,
-            number=types.Attempt(item.number),
-            ask=self._ask(item, denser),
+            number=types.Attempt(item.attempt_number),
+            requirements=self._requirements(item, denser),
             offset=item.delivered,
             pool=self.pool,
             policy=self._policies[req.plain is not None],
             metrics=self.metrics,
             traces=self.traces,
-            revision=self._in_force.revision(),
+            revision=self._settings.revision(),
             priority=-int(req.terms.weight * 100),
-            kept=kept,
+            retained_kv=kept,
         )
         att.excluded |= excluded
         item.attempt = att
         return att
 
-    def _still_kept(self, result: outcome.Result) -> outcome.Kept | None:
-        if not isinstance(result, outcome.Broken):
+    def _reusable_kv(
+        self, result: outcome.Result
+    ) -> outcome.RetainedKvCache | None:
+        if not isinstance(result, outcome.FailedAttempt):
             return None
-        kept = result.kept
-        if kept is None or self._loop.time() - kept.since > _REUSE_S:
+        kept = result.retained_kv
+        if (
+            kept is None
+            or self._loop.time() - kept.since > _MAX_KV_REUSE_AGE_S
+        ):
             return None
         return kept
 
-    def _ask(
+    def _requirements(
         self,
         item: open_request.OpenRequest,
         denser: demand.HigherDensityDemand,
@@ -346,7 +362,7 @@
             max_tokens=req.max_tokens,
             blocks=req.blocks,
             kv_bytes=req.kv_bytes,
-            ttft_s=item.left_s(self._loop.time()),
+            ttft_s=item.remaining_s(self._loop.time()),
             tbt_s=req.terms.tbt_s,
             higher_density=denser,
         )
@@ -358,17 +374,19 @@
         kind = item.req.kind
         if isinstance(event, request.End):
             why = event.reason.value if event.reason else ""
-            self.traces.note(item.req.req, event.outcome.value, detail=why)
+            self.traces.record_step(
+                item.req.req, event.outcome.value, detail=why
+            )
             if event.outcome is types.Outcome.ANSWERED:
-                self.metrics.time("whole", kind, now - item.began)
+                self.metrics.time("whole", kind, now - item.started_at)
                 self._observe_gaps(item, event, now)
-        elif item.first_at is None:
-            item.first_at = now
-            self.metrics.time("first_token", kind, now - item.began)
+        elif item.first_event_at is None:
+            item.first_event_at = now
+            self.metrics.time("first_token", kind, now - item.started_at)
 
     def _observe_gaps(
         self, item: open_request.OpenRequest, end: request.End, now: float
     ) -> None:
-        if item.first_at is not None and end.tokens > 1:
-            gap = (now - item.first_at) / (end.tokens - 1)
+        if item.first_event_at is not None and end.tokens > 1:
+            gap = (now - item.first_event_at) / (end.tokens - 1)
             self.metrics.time("between_tokens", item.req.kind, gap)
--- a/rackpost/entry/suspects.py
+++ b/rackpost/entry/crash_tracker.py
@@ -12,7 +12,7 @@
 
 # What ends with its engine; a stall or a slow reader is none of the request's
 # doing.
-_ENDS = frozenset(
+_CRASH_FAILURES = frozenset(
     {
         types.Failure.AGENT,
         types.Failure.ENGINE,
@@ -21,14 +21,14 @@
 )
 
 
-class Suspects:
+class CrashTracker:
     """The book of one entry."""
 
     def __init__(self) -> None:
-        self._book = quarantine.Quarantine()
+        self._quarantine = quarantine.Quarantine()
 
-    def broke(
-        self, req: request.Request, broken: outcome.Broken, now: float
+    def record_failure(
+        self, req: request.Request, broken: outcome.FailedAttempt, now: float
     ) -> None:
         """An attempt broke off; whether it ran is known.
 
@@ -37,29 +37,31 @@
         """
         if not broken.ran or broken.agent is None:
             return
-        if broken.reason not in _ENDS:
+        if broken.reason not in _CRASH_FAILURES:
             return
         found = quarantine.Suspicion(
-            request=_known_by(req),
+            request=_fingerprint(req),
             endpoint=types.EndpointId(broken.agent),
             born=int(now),
         )
-        self._book.forget(now)
-        self._book.add([found], now)
+        self._quarantine.forget(now)
+        self._quarantine.add([found], now)
 
-    def answered(self, req: request.Request, now: float) -> None:
+    def record_answer(self, req: request.Request, now: float) -> None:
         """A request was answered in full, so that it ends no engine."""
-        if len(self._book):
-            self._book.add(self._book.clearances(_known_by(req)), now)
+        if len(self._quarantine):
+            self._quarantine.add(
+                self._quarantine.clearances(_fingerprint(req)), now
+            )
 
-    def left_s(self, req: request.Request, now: float) -> float:
+    def remaining_s(self, req: request.Request, now: float) -> float:
         """How much longer a request is held back, in seconds; 0 if not."""
-        if not self._book.may_hold_any():
+        if not self._quarantine.may_hold_any():
             return 0.0
-        return self._book.remaining_s(_known_by(req), now)
+        return self._quarantine.remaining_s(_fingerprint(req), now)
 
 
-def _known_by(req: request.Request) -> types.Fingerprint:
+def _fingerprint(req: request.Request) -> types.Fingerprint:
     plain = req.plain
     asked = f"{req.service} {req.kind}"
     if plain is not None:
--- a/rackpost/entry/offers.py
+++ b/rackpost/entry/demand_tracker.py
@@ -12,23 +12,23 @@
 from rackpost.entry import request
 from rackpost import types
 
-Events = Callable[
+DeclaredEvents = Callable[
     [types.ServiceName], Sequence[declared_events_mod.DeclaredEvent]
 ]
 # How many endpoints of a service and role the site has; None if unknown.
-Members = Callable[[types.ServiceName, types.Role], int | None]
+MemberCount = Callable[[types.ServiceName, types.Role], int | None]
 
 
-class _Service:
+class _ServiceDemand:
     """What is offered to one service."""
 
     def __init__(self) -> None:
         self.demand = demand.DemandEstimator()
         self.fairness = fairness.FairShareTracker()
-        self.last = demand.NO_DEMAND
+        self.last_higher_density = demand.NO_DEMAND
 
 
-class Offers:
+class DemandTracker:
     """Counts each request once, and says what is denser than it.
 
     `entries` tells how many entries the site has, `wall` seconds since
@@ -39,8 +39,8 @@
         self,
         *,
         entries: Callable[[], int],
-        events: Events,
-        members: Members,
+        events: DeclaredEvents,
+        members: MemberCount,
         wall: Callable[[], float],
     ) -> None:
         self._entries = entries
@@ -48,9 +48,9 @@
         self._members = members
         self._wall = wall
         self._loop = asyncio.get_running_loop()
-        self._services: dict[types.ServiceName, _Service] = {}
+        self._services: dict[types.ServiceName, _ServiceDemand] = {}
 
-    def denser(
+    def record_request(
         self,
         req: request.Request,
         linked: Sequence[endpoint_view.EndpointView],
@@ -62,31 +62,38 @@
         """
         if req.plain is not None:
             return demand.NO_DEMAND
-        service = self._services.setdefault(req.service, _Service())
+        service = self._services.setdefault(req.service, _ServiceDemand())
         pool = capacity.of_pool(linked)
         offer = self._offer(req, service, pool)
         service.demand.record_offer(req.kind, offer)
         entries = self._entries()
-        self._declare(req.service, service.demand, offer.at, entries)
+        self._update_declared_rates(
+            req.service, service.demand, offer.at, entries
+        )
         prefills = self._members(req.service, types.Role.PREFILL)
         decodes = self._members(req.service, types.Role.DECODE)
-        service.last = service.demand.higher_density_than(offer).scaled(
+        service.last_higher_density = service.demand.higher_density_than(
+            offer
+        ).scaled(
             entries / max(1, decodes or pool.decode_endpoints),
             entries / max(1, prefills or pool.prefill_endpoints),
         )
-        return service.last
+        return service.last_higher_density
 
-    def last_denser(self, service: types.ServiceName) -> float:
+    def last_higher_density_load(self, service: types.ServiceName) -> float:
         """The share of prefill time denser than the last request."""
         found = self._services.get(service)
         if found is None:
             return 0.0
-        return found.last.urgent_load + found.last.other_load
+        return (
+            found.last_higher_density.urgent_load
+            + found.last_higher_density.other_load
+        )
 
     def _offer(
         self,
         req: request.Request,
-        service: _Service,
+        service: _ServiceDemand,
         pool: capacity.PoolCapacity,
     ) -> demand.Offer:
         now = self._loop.time()
@@ -100,7 +107,7 @@
             target_s=req.terms.ttft_s,
         )
 
-    def _declare(
+    def _update_declared_rates(
         self,
         service: types.ServiceName,
         seen: demand.DemandEstimator,
--- a/rackpost/entry/http.py
+++ b/rackpost/entry/http.py
@@ -23,14 +23,14 @@
 from rackpost import types
 
 # A caller has this long to send its body, in seconds.
-BODY_S = 10.0
+BODY_TIMEOUT_S = 10.0
 _KIND_HEADER = "x-rackpost-kind"
-_MAX_KEY = 256
+_MAX_IDEMPOTENCY_KEY = 256
 
 TreeNow = Callable[[], tree_mod.Tree]
 
 
-class _Caller:
+class _CallerContext:
     """Who asks, for what, on which terms."""
 
     def __init__(
@@ -85,7 +85,7 @@
                     self._plain,
                     methods=plain_methods,
                 ),
-                routing.Route("/v1/requests/{request_id}", self._explain),
+                routing.Route("/v1/requests/{request_id}", self._trace),
                 routing.Route("/metrics", self._metrics),
                 routing.Route("/healthz", self._healthz),
                 routing.Route("/readyz", self._readyz),
@@ -107,7 +107,7 @@
             return responses.PlainTextResponse("ready\n")
         return responses.PlainTextResponse("no settings yet\n", 503)
 
-    async def _explain(self, req: requests.Request) -> responses.Response:
+    async def _trace(self, req: requests.Request) -> responses.Response:
         """The steps of one of the caller's own latest requests."""
         name = types.RequestId(req.path_params["request_id"])
         try:
@@ -118,7 +118,7 @@
                     "unknown-request", "not one of your latest", status=404
                 )
         except exceptions.BadRequest as exc:
-            return _bad(exc, name)
+            return _bad_request_response(exc, name)
         return responses.Response(
             msgspec.json.encode(found), media_type="application/json"
         )
@@ -151,10 +151,10 @@
                     )
                 ),
             )
-            who = self._who(req, tree, caller, parsed.model)
+            who = self._context(req, tree, caller, parsed.model)
             asked = self._model_request(req, name, who, parsed)
         except exceptions.BadRequest as exc:
-            return _bad(exc, name)
+            return _bad_request_response(exc, name)
         writer = openai.Writer(
             parsed=parsed, req=name, created=int(time.time())
         )
@@ -169,10 +169,10 @@
         self,
         req: requests.Request,
         name: types.RequestId,
-        who: _Caller,
+        who: _CallerContext,
         parsed: openai.Parsed,
     ) -> request.Request:
-        if self._type_of(who) != "model":
+        if self._service_type(who) != "model":
             raise exceptions.BadRequest(
                 "unknown-model", f"{who.service!r} is not a model", status=404
             )
@@ -199,7 +199,7 @@
         try:
             tree, caller = self._authenticate(req)
         except exceptions.BadRequest as exc:
-            return _bad(exc, _new_id())
+            return _bad_request_response(exc, _new_id())
         now = time.time()
         found = [
             {"id": name, "object": "model", "owned_by": "rackpost"}
@@ -212,8 +212,8 @@
         name = _new_id()
         try:
             tree, caller = self._authenticate(req)
-            who = self._who(req, tree, caller, req.path_params["service"])
-            if self._type_of(who) != "plain":
+            who = self._context(req, tree, caller, req.path_params["service"])
+            if self._service_type(who) != "plain":
                 raise exceptions.BadRequest(
                     "unknown-service",
                     f"{who.service!r} is not a plain service",
@@ -231,11 +231,11 @@
                     method=req.method,
                     path="/" + req.path_params["path"],
                     query=req.url.query,
-                    headers=_passed_on(req),
+                    headers=_forwarded_headers(req),
                 ),
             )
         except exceptions.BadRequest as exc:
-            return _bad(exc, name)
+            return _bad_request_response(exc, name)
         return answers.PlainAnswer(events=self._entry.serve(asked), req=name)
 
     def _authenticate(
@@ -259,13 +259,13 @@
             )
         return tree, caller
 
-    def _who(
+    def _context(
         self,
         req: requests.Request,
         tree: tree_mod.Tree,
         caller: types.CallerId,
         service: str,
-    ) -> _Caller:
+    ) -> _CallerContext:
         if service not in tree.services():
             raise exceptions.BadRequest(
                 "unknown-model", f"no service {service!r}", status=404
@@ -280,9 +280,11 @@
             raise exceptions.BadRequest(
                 "unknown-kind", f"{service} has no kind {kind!r}"
             )
-        return _Caller(caller=caller, service=service, kind=kind, tree=tree)
+        return _CallerContext(
+            caller=caller, service=service, kind=kind, tree=tree
+        )
 
-    def _type_of(self, who: _Caller) -> str:
+    def _service_type(self, who: _CallerContext) -> str:
         return str(
             self._tree().value(
                 who.caller, who.service, who.kind, "type", time.time()
@@ -294,13 +296,15 @@
     return types.RequestId("rp-" + secrets.token_hex(12))
 
 
-def _passed_on(req: requests.Request) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(req: requests.Request) -> tuple[tuple[str, str], ...]:
     ours = {"authorization", _KIND_HEADER}
     headers = engine_http.end_to_end_headers(tuple(req.headers.items()))
     return tuple(item for item in headers if item[0] not in ours)
 
 
-def _claim_key(req: requests.Request, who: _Caller) -> types.ClaimKey | None:
+def _claim_key(
+    req: requests.Request, who: _CallerContext
+) -> types.ClaimKey | None:
     if who.terms.repeat is types.RepeatClass.FREE:
         return None
     key = req.headers.get("idempotency-key", "")
@@ -309,9 +313,9 @@
             "no-idempotency-key",
             f"requests of kind {who.kind!r} need an Idempotency-Key",
         )
-    if len(key) > _MAX_KEY:
+    if len(key) > _MAX_IDEMPOTENCY_KEY:
         raise exceptions.BadRequest(
-            "bad-idempotency-key", f"longer than {_MAX_KEY}"
+            "bad-idempotency-key", f"longer than {_MAX_IDEMPOTENCY_KEY}"
         )
     whole = f"{who.caller}\n{who.service}\n{key}".encode()
     return types.ClaimKey(hashlib.sha256(whole).hexdigest()[:32])
@@ -321,19 +325,19 @@
     parts: list[bytes] = []
     size = 0
     try:
-        async with asyncio.timeout(BODY_S):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             async for part in req.stream():
                 size += len(part)
-                if size > openai.MAX_BODY:
+                if size > openai.MAX_BODY_BYTES:
                     raise exceptions.BadRequest(
                         "too-large",
-                        f"over {openai.MAX_BODY} bytes",
+                        f"over {openai.MAX_BODY_BYTES} bytes",
                         status=413,
                     )
                 parts.append(part)
     except TimeoutError:
         raise exceptions.BadRequest(
-            "slow-body", f"not all there in {BODY_S:g} s", status=408
+            "slow-body", f"not all there in {BODY_TIMEOUT_S:g} s", status=408
         ) from None
     except requests.ClientDisconnect:
         raise exceptions.BadRequest(
@@ -342,7 +346,7 @@
     return b"".join(parts)
 
 
-def _bad(
+def _bad_request_response(
     exc: exceptions.BadRequest, name: types.RequestId
 ) -> responses.Response:
-    return answers.of_problem(openai.bad_request(exc, name))
+    return answers.problem_response(openai.bad_request(exc, name))
--- a/rackpost/entry/open_request.py
+++ b/rackpost/entry/open_request.py
@@ -10,21 +10,21 @@
 class OpenRequest:
     """A request that is being served, with its present attempt."""
 
-    def __init__(self, *, req: request.Request, began: float) -> None:
+    def __init__(self, *, req: request.Request, started_at: float) -> None:
         self.req = req
-        self.began = began
+        self.started_at = started_at
         self.attempt: attempt_mod.Attempt | None = None
-        self.number = 0
+        self.attempt_number = 0
         self.delivered = 0
         self.handed_over = False
-        self.first_at: float | None = None
-        self.claimed: claims_mod.Holder | None = None
+        self.first_event_at: float | None = None
+        self.claim_holder: claims_mod.Holder | None = None
         # The answer that the key was given before, for a resend.
-        self.held: list[request.Event] = []
+        self.stored_answer: list[request.Event] = []
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """How long its next token may take, in seconds."""
-        past = now - self.began
+        past = now - self.started_at
         if self.delivered:
             # The first token was in time; a resumed stream has as long
             # as a new request would.
--- a/rackpost/entry/openai.py
+++ b/rackpost/entry/openai.py
@@ -16,15 +16,15 @@
 from rackpost import exceptions
 from rackpost import types
 
-MAX_BODY = 4 << 20
+MAX_BODY_BYTES = 4 << 20
 # JSON nested deeper than this is refused before it is parsed.
 MAX_DEPTH = 64
 _MAX_MESSAGES = 2048
 
-_Count = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
+_TokenCount = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
 
 
-class _Part(msgspec.Struct):
+class _ContentPart(msgspec.Struct):
     """One part of a message's content."""
 
     type: str
@@ -35,7 +35,7 @@
     """One message of a chat."""
 
     role: str
-    content: Union[str, list[_Part], None] = None
+    content: Union[str, list[_ContentPart], None] = None
 
 
 class _StreamOptions(msgspec.Struct):
@@ -44,14 +44,14 @@
     include_usage: bool = False
 
 
-class _Asked(msgspec.Struct):
+class _RequestFields(msgspec.Struct):
     """The fields that rackpost looks at."""
 
     model: str
     messages: list[_ChatMessage] | None = None
     prompt: str | None = None
-    max_tokens: _Count | None = None
-    max_completion_tokens: _Count | None = None
+    max_tokens: _TokenCount | None = None
+    max_completion_tokens: _TokenCount | None = None
     stream: bool = False
     stream_options: _StreamOptions | None = None
     n: int = 1
@@ -108,7 +108,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as exc:
         raise exceptions.BadRequest("not-json", str(exc)) from exc
     try:
-        asked = msgspec.convert(raw, _Asked)
+        asked = msgspec.convert(raw, _RequestFields)
     except (msgspec.ValidationError, RecursionError) as exc:
         raise exceptions.BadRequest("wrong-types", str(exc)) from exc
     if asked.n != 1:
@@ -136,7 +136,7 @@
     )
 
 
-def _prompt(asked: _Asked, chat: bool) -> bytes:
+def _prompt(asked: _RequestFields, chat: bool) -> bytes:
     if not chat:
         if asked.prompt is None:
             raise exceptions.BadRequest("no-prompt", "'prompt' is missing")
@@ -211,9 +211,9 @@
         self._first = False
         event = self._base(kind)
         event["choices"] = [choice]
-        return _sse(event)
+        return _sse_event(event)
 
-    def closing(self, tokens: int) -> bytes:
+    def final_events(self, tokens: int) -> bytes:
         """The last events of a streamed answer."""
         data = self.chunk(None, "stop")
         if self._parsed.usage:
@@ -223,14 +223,14 @@
             event = self._base(kind)
             event["choices"] = []
             event["usage"] = usage_of(self._parsed.prompt, tokens)
-            data += _sse(event)
+            data += _sse_event(event)
         return data + b"data: [DONE]\n\n"
 
-    def broken(self, end: request.End) -> bytes:
+    def error_event(self, end: request.End) -> bytes:
         """The last event of a streamed answer that broke off."""
-        return _sse({"error": problem(end, self._req)})
+        return _sse_event({"error": problem(end, self._req)})
 
-    def whole(self, text: str, tokens: int) -> bytes:
+    def complete_body(self, text: str, tokens: int) -> bytes:
         """A whole answer in one body."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         if self._parsed.chat:
@@ -245,7 +245,7 @@
         return msgspec.json.encode(answer)
 
 
-def _sse(event: Any) -> bytes:
+def _sse_event(event: Any) -> bytes:
     return b"data: " + msgspec.json.encode(event) + b"\n\n"
 
 
--- a/rackpost/entry/outcome.py
+++ b/rackpost/entry/outcome.py
@@ -6,36 +6,36 @@
 from rackpost import types
 
 
-class Refused(NamedTuple):
+class RefusedAttempt(NamedTuple):
     """The attempt ended before anything was started."""
 
     reason: types.Refusal
 
 
-class Kept(NamedTuple):
+class RetainedKvCache(NamedTuple):
     """A KV cache that its prefill endpoint still keeps for export."""
 
     kv: dict[str, Any]
     since: float
 
 
-class Broken(NamedTuple):
-    """The attempt broke off after it had been accepted.
+class FailedAttempt(NamedTuple):
+    """The attempt failed after its reservations were granted.
 
-    `agent` is whose part broke; `ran` as in `messages.Failed`.  `kept` is
-    set where the prefill was done and the decode never begun.
+    `agent` is the agent that failed, and `ran` as in `messages.Failed`.
+    `retained_kv` is set if the prefill finished but decode did not start.
     """
 
     reason: types.Failure
     ran: bool
     agent: types.AgentId | None
-    kept: Kept | None = None
+    retained_kv: RetainedKvCache | None = None
 
 
-class Whole(NamedTuple):
+class CompletedAttempt(NamedTuple):
     """The attempt's answer has ended, after so many pieces or bytes."""
 
     length: int
 
 
-Result = Refused | Broken | Whole
+Result = RefusedAttempt | FailedAttempt | CompletedAttempt
--- a/rackpost/entry/pool.py
+++ b/rackpost/entry/pool.py
@@ -44,7 +44,7 @@
 
     def __init__(self, *, rng: random.Random) -> None:
         self._loop = asyncio.get_running_loop()
-        self.health = circuit_breaker.CircuitBreakers(rng=rng)
+        self.circuit_breakers = circuit_breaker.CircuitBreakers(rng=rng)
         self._peers: dict[types.AgentId, Peer] = {}
         self._by_service: dict[
             types.ServiceName, list[endpoint_view.EndpointView]
@@ -87,11 +87,11 @@
         now = self._loop.time()
         found = self._by_service.get(service, [])
         for view in found:
-            state = self.health.of(view.agent).state(now)
+            state = self.circuit_breakers.of(view.agent).state(now)
             view.avoided = state is circuit_breaker.State.OPEN
         return found
 
-    def learn(self, agent: types.AgentId, load: messages.Load) -> None:
+    def update_load(self, agent: types.AgentId, load: messages.Load) -> None:
         """An agent has said its load."""
         peer = self._peers.get(agent)
         if peer is not None:
--- a/rackpost/entry/process.py
+++ b/rackpost/entry/process.py
@@ -24,13 +24,13 @@
 from rackpost.state import commands
 from rackpost import types
 
-_FIRST_PAUSE_S = 0.05
-_LONGEST_PAUSE_S = 2.0
-_NEAR_S = 0.0002
-_FAR_S = 0.001
+_MIN_RECONNECT_S = 0.05
+_MAX_RECONNECT_S = 2.0
+_LOCAL_DELAY_S = 0.0002
+_REMOTE_DELAY_S = 0.001
 
 
-class _InForce(core.InForce):
+class _ControlSettings(core.SettingsSource):
     """What the entry's link to control has put in force."""
 
     def __init__(self, *, client: client_mod.ControlClient) -> None:
@@ -40,11 +40,11 @@
         """The revision that is in force here."""
         return self._client.in_force.revision
 
-    def behind(self, revision: types.Revision) -> None:
+    def catch_up_to(self, revision: types.Revision) -> None:
         """Fetch what a peer has and this process lacks."""
         self._client.behind(revision)
 
-    def members(
+    def member_count(
         self, service: types.ServiceName, role: types.Role
     ) -> int | None:
         """How many endpoints of a service and role have joined."""
@@ -75,7 +75,7 @@
             ),
             rng=self._rng,
             join=self._member(),
-            changed=self._changed,
+            changed=self._on_members_changed,
         )
         self.claims = control_claims.ControlClaims(
             client=self.client, now=time.time
@@ -89,13 +89,13 @@
             plain=placement.PlainPolicy(rng=self._rng),
             claims=self.claims,
             rng=self._rng,
-            entries=self._count_entries,
+            entry_count=self._count_entries,
             events=self._events,
-            in_force=_InForce(client=self.client),
+            settings=_ControlSettings(client=self.client),
         )
-        self._known: set[str] = set()
+        self._known_agents: set[str] = set()
         self._links: dict[str, asyncio.Task[None]] = {}
-        self._linked: dict[str, commands.MemberInfo] = {}
+        self._linked_members: dict[str, commands.MemberInfo] = {}
 
     def _member(self) -> commands.MemberInfo:
         opts = self.opts
@@ -123,7 +123,7 @@
             if service in event.services
         ]
 
-    def _changed(self) -> None:
+    def _on_members_changed(self) -> None:
         members = self.client.in_force.members
         wanted = subset.choose(
             entry=self.opts.name,
@@ -132,23 +132,26 @@
             size=self.opts.subset,
         )
         for name in list(self._links):
-            if name not in wanted or self._linked[name] != members[name]:
+            if (
+                name not in wanted
+                or self._linked_members[name] != members[name]
+            ):
                 self._links.pop(name).cancel()
-        self._forget_gone(members)
+        self._forget_removed(members)
         for name in wanted:
             if name not in self._links:
-                self._linked[name] = members[name]
+                self._linked_members[name] = members[name]
                 self._links[name] = asyncio.create_task(
                     self._keep_link(members[name])
                 )
 
-    def _forget_gone(self, members: dict[str, commands.MemberInfo]) -> None:
-        for name in self._known - members.keys():
-            self.entry.pool.health.forget(types.AgentId(name))
-        self._known = set(members)
+    def _forget_removed(self, members: dict[str, commands.MemberInfo]) -> None:
+        for name in self._known_agents - members.keys():
+            self.entry.pool.circuit_breakers.forget(types.AgentId(name))
+        self._known_agents = set(members)
 
     async def _keep_link(self, member: commands.MemberInfo) -> None:
-        pause = _FIRST_PAUSE_S
+        pause = _MIN_RECONNECT_S
         while True:
             try:
                 async with websocket.connected(
@@ -159,7 +162,7 @@
                     logs.say(
                         logs.Part.ENTRY, "Linked to agent.", agent=member.name
                     )
-                    pause = _FIRST_PAUSE_S
+                    pause = _MIN_RECONNECT_S
                     self.entry.add_agent(self._pool_member(member), conn)
                     await conn.ended()
             except exceptions.LinkError as exc:
@@ -170,7 +173,7 @@
                     why=str(exc),
                 )
             await asyncio.sleep(pause * (0.5 + self._rng.random()))
-            pause = min(_LONGEST_PAUSE_S, pause * 2)
+            pause = min(_MAX_RECONNECT_S, pause * 2)
 
     def _pool_member(self, member: commands.MemberInfo) -> pool.Member:
         near = member.data_centre == self.opts.data_centre
@@ -179,7 +182,7 @@
             service=member.service,
             role=member.role,
             data_centre=member.data_centre,
-            delay_s=_NEAR_S if near else _FAR_S,
+            delay_s=_LOCAL_DELAY_S if near else _REMOTE_DELAY_S,
         )
 
     def _ready(self) -> bool:
--- a/rackpost/entry/request.py
+++ b/rackpost/entry/request.py
@@ -37,7 +37,7 @@
     plain: PlainCall | None = None
 
 
-class Piece(msgspec.Struct, frozen=True, kw_only=True):
+class TextChunk(msgspec.Struct, frozen=True, kw_only=True):
     """The next piece of a model's answer."""
 
     text: str
@@ -50,7 +50,7 @@
     headers: tuple[tuple[str, str], ...]
 
 
-class PlainPart(msgspec.Struct, frozen=True, kw_only=True):
+class PlainChunk(msgspec.Struct, frozen=True, kw_only=True):
     """The next part of a plain service's body."""
 
     data: bytes
@@ -68,4 +68,4 @@
     tokens: int = 0
 
 
-Event = Union[Piece, PlainHead, PlainPart, End]
+Event = Union[TextChunk, PlainHead, PlainChunk, End]
--- a/rackpost/entry/trace.py
+++ b/rackpost/entry/trace.py
@@ -8,7 +8,7 @@
 from rackpost import types
 
 # The latest requests whose steps are kept, and steps of one request.
-_KEPT = 2048
+_MAX_TRACES = 2048
 _MAX_STEPS = 64
 
 
@@ -39,7 +39,7 @@
         self._loop = asyncio.get_running_loop()
         self._traces: OrderedDict[types.RequestId, Trace] = OrderedDict()
 
-    def begin(
+    def start(
         self,
         *,
         req: types.RequestId,
@@ -56,10 +56,10 @@
             began=self._loop.time(),
             steps=[],
         )
-        while len(self._traces) > _KEPT:
+        while len(self._traces) > _MAX_TRACES:
             self._traces.popitem(last=False)
 
-    def note(
+    def record_step(
         self,
         req: types.RequestId,
         what: str,
--- a/rackpost/testing/site.py
+++ b/rackpost/testing/site.py
@@ -170,7 +170,7 @@
             plain=placement.PlainPolicy(rng=rng),
             claims=self._claims,
             rng=rng,
-            entries=lambda: len(self.entries),
+            entry_count=lambda: len(self.entries),
             events=lambda service: self.events,
             wall=asyncio.get_running_loop().time,
         )
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -113,9 +113,9 @@
     end: request.End | None = None
     async for event in entry.serve(req):
         assert end is None, "something came after the end"
-        if isinstance(event, request.Piece):
+        if isinstance(event, request.TextChunk):
             pieces.append(event.text)
-        elif isinstance(event, request.PlainPart):
+        elif isinstance(event, request.PlainChunk):
             body += event.data
         elif isinstance(event, request.End):
             end = event
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -44,10 +44,10 @@
     assert rate(161.0, 20.0) == 0.0
 
 
-class _TwentyEndpoints(core.InForce):
+class _TwentyEndpoints(core.SettingsSource):
     """A site of twenty endpoints of each role."""
 
-    def members(
+    def member_count(
         self, service: types.ServiceName, role: types.Role
     ) -> int | None:
         return 20
@@ -61,10 +61,10 @@
         await asyncio.sleep(0.1)
         entry = site.entries[0]
         linked = entry.pool.views_of(driver.SERVICE)
-        entry.offers.denser(driver.ask("dense", weight=50.0), linked)
-        few = entry.offers.denser(driver.ask("light"), linked)
-        entry.offers._members = _TwentyEndpoints().members
-        many = entry.offers.denser(driver.ask("light2"), linked)
+        entry.demand.record_request(driver.ask("dense", weight=50.0), linked)
+        few = entry.demand.record_request(driver.ask("light"), linked)
+        entry.demand._members = _TwentyEndpoints().member_count
+        many = entry.demand.record_request(driver.ask("light2"), linked)
         assert abs(few.other_rate / many.other_rate - 10.0) < 1e-9
         site.close()
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -224,13 +224,13 @@
         entry = site.entries[0]
         reports: list[float] = []
         loop = asyncio.get_running_loop()
-        learn = entry.pool.learn
+        learn = entry.pool.update_load
 
         def counting(agent: types.AgentId, load: object) -> None:
             reports.append(loop.time())
             learn(agent, load)  # type: ignore[arg-type]
 
-        entry.pool.learn = counting  # type: ignore[method-assign]
+        entry.pool.update_load = counting  # type: ignore[method-assign]
         await asyncio.sleep(20.0)
         assert len(reports) <= 5 * len(site.nodes)
         # Another entry fills an endpoint; this one learns of it in a second.
