--- a/rackpost/entry/answers.py
+++ b/rackpost/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers, written from the events of a request."""
+"""HTTP responses to callers, written from the events of a request."""
 
 import asyncio
 import contextlib
@@ -16,30 +16,30 @@
 from rackpost import exceptions
 from rackpost import types
 
-# A caller has this long to take each part of its answer, in seconds.
+# How long one send to the caller may block.
 SEND_TIMEOUT_S = 10.0
 
 Send = Callable[[Any], Awaitable[None]]
 
 
-def problem_response(found: openai.Problem) -> responses.Response:
-    """A problem as an answer."""
-    headers = {"x-request-id": found.request_id}
-    if found.retry_after_s is not None:
-        headers["retry-after"] = str(math.ceil(found.retry_after_s))
+def problem_response(problem: openai.Problem) -> responses.Response:
+    """Return a problem as an HTTP response."""
+    headers = {"x-request-id": problem.request_id}
+    if problem.retry_after_s is not None:
+        headers["retry-after"] = str(math.ceil(problem.retry_after_s))
     return responses.Response(
-        msgspec.json.encode(found),
-        found.status,
+        msgspec.json.encode(problem),
+        problem.status,
         headers=headers,
         media_type="application/problem+json",
     )
 
 
 class _Answer(responses.Response):
-    """An answer written from a request's events.
+    """A response that is written from a request's events.
 
-    The events are closed, and so all that is held for the request is let
-    go, when the caller leaves or takes nothing for READER_S.
+    If the caller disconnects, or a send to it blocks for SEND_TIMEOUT_S,
+    the events are closed, which releases all that the request holds.
     """
 
     def __init__(
@@ -53,19 +53,20 @@
         self._req = req
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        writing = asyncio.create_task(self._write_closing(scope, send))
-        leaving = asyncio.create_task(_wait_for_disconnect(receive))
+        write_task = asyncio.create_task(self._write_closing(scope, send))
+        disconnect_task = asyncio.create_task(_wait_for_disconnect(receive))
         try:
             await asyncio.wait(
-                [writing, leaving], return_when=asyncio.FIRST_COMPLETED
+                [write_task, disconnect_task],
+                return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            leaving.cancel()
-            if not writing.done():
-                writing.cancel()
-            await asyncio.wait([writing, leaving])
-        if not writing.cancelled():
-            writing.result()
+            disconnect_task.cancel()
+            if not write_task.done():
+                write_task.cancel()
+            await asyncio.wait([write_task, disconnect_task])
+        if not write_task.cancelled():
+            write_task.result()
 
     async def _write_closing(self, scope: Any, send: Send) -> None:
         async with contextlib.aclosing(self._events):
@@ -80,13 +81,13 @@
     async def _send_start(
         self, send: Send, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
-        head = [(b"x-request-id", self._req.encode()), *headers]
+        all_headers = [(b"x-request-id", self._req.encode()), *headers]
         await _send(
             send,
             {
                 "type": "http.response.start",
                 "status": status,
-                "headers": head,
+                "headers": all_headers,
             },
         )
 
@@ -98,7 +99,7 @@
 
 
 class _CallerStalled(exceptions.RackpostError):
-    """The caller takes nothing of its answer."""
+    """The caller does not read its answer."""
 
 
 async def _send(send: Send, event: Any) -> None:
@@ -106,7 +107,7 @@
         async with asyncio.timeout(SEND_TIMEOUT_S):
             await send(event)
     except TimeoutError:
-        raise _CallerStalled("the caller takes nothing") from None
+        raise _CallerStalled("the caller does not read its answer") from None
 
 
 async def _wait_for_disconnect(receive: Any) -> None:
@@ -115,7 +116,7 @@
 
 
 class ModelAnswer(_Answer):
-    """The answer to a model's request, streamed or whole."""
+    """The answer to a model request, streamed or in one body."""
 
     def __init__(
         self,
@@ -177,14 +178,14 @@
                     await _refuse(event, self._req, scope, send)
                     return
                 data = self._writer.complete_body("".join(texts), event.tokens)
-                kind = (b"content-type", b"application/json")
-                await self._send_start(send, 200, [kind])
+                content_type = (b"content-type", b"application/json")
+                await self._send_start(send, 200, [content_type])
                 await self._send_body(send, data, False)
                 return
 
 
 class PlainAnswer(_Answer):
-    """A plain service's answer, passed on part by part."""
+    """The answer of a plain service, forwarded chunk by chunk."""
 
     async def _write(self, scope: Any, send: Send) -> None:
         started = False
@@ -203,17 +204,17 @@
                     await self._send_body(send, b"", False)
                 elif not started:
                     await _refuse(event, self._req, scope, send)
-                # A started answer that broke off is left unended, so the
-                # caller sees that it is not whole.
+                # An answer that failed after its start is not terminated,
+                # so that the caller sees that it is incomplete.
                 return
 
 
 async def _refuse(
-    end: request.End, name: types.RequestId, scope: Any, send: Send
+    end: request.End, request_id: types.RequestId, scope: Any, send: Send
 ) -> None:
-    answer = problem_response(openai.problem(end, name))
+    answer = problem_response(openai.problem(end, request_id))
     await answer(scope, _receive_nothing, send)
 
 
 async def _receive_nothing() -> Any:
-    raise RuntimeError("nothing is received here")
+    raise RuntimeError("a problem response does not receive")
--- a/rackpost/entry/attempt.py
+++ b/rackpost/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: reserve both halves, prefill, decode."""
+"""One attempt at a request: reserve endpoints, prefill, decode."""
 
 import asyncio
 import contextlib
@@ -17,16 +17,16 @@
 from rackpost import metrics as metrics_mod
 from rackpost import types
 
-# An agent that has not answered a reservation by then is not waited for.
+# How long an agent may take to answer a reservation.
 REPLY_TIMEOUT_S = 0.25
-# A request is answered, one way or the other, after this many refusals.
+# Refused reservations after which an attempt gives up.
 MAX_REFUSALS = 2
-# The KV cache is kept by the engine for under a second; a prefill is not
-# started earlier than this before the decode slot is there, in seconds.
+# How long before the decode slot is free a prefill may finish; engines
+# keep its KV cache for less than a second.
 MAX_PREFILL_LEAD_S = 0.4
-# Beyond what the agent itself allows before it reports a stall.
+# Longer than an agent takes to report a stalled engine.
 _AGENT_TIMEOUT_S = 6.0
-# A slow reader's answer waits here; more than this many pieces end it.
+# Bounds the memory of an answer whose caller reads slowly.
 MAX_QUEUED_MESSAGES = 20_000
 
 
@@ -37,7 +37,7 @@
 
 
 class _TimedOut(msgspec.Struct, frozen=True):
-    """Nothing came in time."""
+    """No message arrived in time."""
 
 
 _TIMED_OUT = _TimedOut()
@@ -71,7 +71,7 @@
         self.result: outcome.Result = outcome.RefusedAttempt(
             types.Refusal.NO_ENDPOINT
         )
-        # Whether an endpoint may have had any of it.
+        # Whether an endpoint may have received the request.
         self.handed_over = False
         self.refusals = 0
         self.excluded: set[types.AgentId] = set()
@@ -90,22 +90,22 @@
         self._granted: dict[types.Role, messages.Granted] = {}
         self._agents: dict[types.Role, types.AgentId] = {}
 
-    # What the entry hands in.
+    # Messages and link losses, passed in by the entry.
 
     def receive(self, agent: types.AgentId, msg: msgspec.Struct) -> bool:
-        """Take a message of this attempt; False if it was not expected."""
+        """Queue a message from an agent; False if the agent is not in use."""
         if agent not in self._active_peers:
             return False
         self._inbox.put_nowait(msg)
         return True
 
     def handle_link_lost(self, agent: types.AgentId) -> None:
-        """The link to an agent of this attempt is gone."""
+        """Record a lost link to an agent that this attempt uses."""
         if agent in self._active_peers:
             self._inbox.put_nowait(_LinkLost(agent=agent))
 
     def answering_peer(self) -> pool_mod.Peer | None:
-        """The agent that will give the answer, once reserved."""
+        """Return the agent that gives the answer, once it is reserved."""
         agent = self._agents.get(self._answering_role)
         return self._pool.peer(agent) if agent is not None else None
 
@@ -118,13 +118,12 @@
     def _first_role(self) -> types.Role:
         if self.req.plain is not None:
             return types.Role.PLAIN
-        # With a KV cache at hand a prefill was run before.
         return types.Role.PREFILL
 
     # Reservation.
 
     async def reserve(self) -> types.Refusal | None:
-        """Get every part promised; None, or why it can't be."""
+        """Reserve all endpoints; return None, or the reason of a refusal."""
         while True:
             plan = self._policy.place(
                 requirements=self._requirements,
@@ -157,23 +156,23 @@
     async def _reserve_at_agents(
         self, plan: placement.Placement
     ) -> types.Refusal | None:
-        waiting: dict[types.AgentId, types.Role] = {}
+        pending: dict[types.AgentId, types.Role] = {}
         for role, agent in self._roles_to_reserve(plan):
             if role in self._granted:
                 continue
             if not self._send_reserve(role, agent, plan):
                 return types.Refusal.LINK_LOST
-            waiting[agent] = role
+            pending[agent] = role
         reason: types.Refusal | None = None
-        until = self._loop.time() + REPLY_TIMEOUT_S
-        while waiting:
-            msg = await self._next_message(until - self._loop.time())
+        deadline = self._loop.time() + REPLY_TIMEOUT_S
+        while pending:
+            msg = await self._next_message(deadline - self._loop.time())
             if isinstance(msg, _TimedOut):
-                for agent in waiting:
+                for agent in pending:
                     self._exclude(agent)
                 return types.Refusal.NO_REPLY
-            why = self._handle_reply(msg, waiting)
-            reason = reason or why
+            refusal = self._handle_reply(msg, pending)
+            reason = reason or refusal
         return reason
 
     def _roles_to_reserve(
@@ -196,15 +195,17 @@
         if peer is None:
             self.excluded.add(agent)
             return False
-        ask = self._requirements
+        requirements = self._requirements
         load = peer.view.load
-        # A second try has what the first one has left.
-        left = ask.ttft_s - (self._loop.time() - self._started_at)
-        left -= 2 * peer.view.delay_s
+        # A retried reservation has the time that earlier ones left.
+        remaining_s = requirements.ttft_s - (
+            self._loop.time() - self._started_at
+        )
+        remaining_s -= 2 * peer.view.delay_s
         if role is not types.Role.PLAIN:
-            left -= load.step_s
+            remaining_s -= load.step_s
         if role is types.Role.PREFILL:
-            left -= ask.kv_bytes / load.link_bytes_s
+            remaining_s -= requirements.kv_bytes / load.link_bytes_s
         self._active_peers[agent] = peer
         self._agents[role] = agent
         self._record_reservation(role, peer)
@@ -216,21 +217,25 @@
                 service=self.req.service,
                 kind=self.req.kind,
                 revision=self._revision,
-                within_s=max(0.0, left),
+                within_s=max(0.0, remaining_s),
                 ready_in_s=max(0.0, plan.ready_in_s),
-                prompt_tokens=ask.prompt_tokens,
-                max_tokens=ask.max_tokens,
-                kv_bytes=ask.kv_bytes if role is types.Role.DECODE else 0,
-                blocks=ask.blocks if role is types.Role.PREFILL else (),
+                prompt_tokens=requirements.prompt_tokens,
+                max_tokens=requirements.max_tokens,
+                kv_bytes=(
+                    requirements.kv_bytes if role is types.Role.DECODE else 0
+                ),
+                blocks=(
+                    requirements.blocks if role is types.Role.PREFILL else ()
+                ),
                 urgent=(
-                    ask.higher_density.urgent_load
+                    requirements.higher_density.urgent_load
                     if role is types.Role.PREFILL
-                    else ask.higher_density.urgent_rate
+                    else requirements.higher_density.urgent_rate
                 ),
                 denser=(
-                    ask.higher_density.other_load
+                    requirements.higher_density.other_load
                     if role is types.Role.PREFILL
-                    else ask.higher_density.other_rate
+                    else requirements.higher_density.other_rate
                 ),
                 priority=self._priority,
                 claim=self.req.claim,
@@ -254,22 +259,22 @@
     def _handle_reply(
         self,
         msg: msgspec.Struct,
-        waiting: dict[types.AgentId, types.Role],
+        pending: dict[types.AgentId, types.Role],
     ) -> types.Refusal | None:
         if isinstance(msg, messages.Granted):
             agent = self._agents[msg.part]
-            waiting.pop(agent, None)
+            pending.pop(agent, None)
             self._granted[msg.part] = msg
             self._record_step("promised", agent, f"in {msg.ready_in_s:.3f} s")
             return None
         if isinstance(msg, messages.Refused):
             agent = self._agents[msg.part]
-            waiting.pop(agent, None)
+            pending.pop(agent, None)
             self._exclude(agent)
             self._record_step("refused", agent, msg.reason.value)
             return msg.reason
         if isinstance(msg, _LinkLost):
-            if waiting.pop(msg.agent, None) is not None:
+            if pending.pop(msg.agent, None) is not None:
                 self._exclude(msg.agent)
                 return types.Refusal.LINK_LOST
             for role, agent in self._agents.items():
@@ -288,16 +293,16 @@
     # Running.
 
     async def run(self) -> AsyncGenerator[request.Event, None]:
-        """Run what was reserved; yields the answer's pieces."""
+        """Run the request at the reserved endpoints; yield its answer."""
         self.handed_over = True
         if self.req.plain is not None:
             self._send_call()
             role = types.Role.PLAIN
         else:
             if self._retained_kv is None:
-                broken = await self._prefill()
-                if broken is not None:
-                    self.result = broken
+                failure = await self._prefill()
+                if failure is not None:
+                    self.result = failure
                     return
             self._send_decode()
             role = types.Role.DECODE
@@ -316,14 +321,14 @@
                 req=self.req.req, attempt=self.number, body=self.req.body
             )
         )
-        expected = self._granted[types.Role.PREFILL].ready_in_s
-        until = sent_at + _AGENT_TIMEOUT_S
+        expected_s = self._granted[types.Role.PREFILL].ready_in_s
+        deadline = sent_at + _AGENT_TIMEOUT_S
         while True:
-            msg = await self._next_message(until - self._loop.time())
+            msg = await self._next_message(deadline - self._loop.time())
             if isinstance(msg, messages.PrefillDone):
                 self._active_peers.pop(agent, None)
-                took = self._loop.time() - sent_at
-                self._record_success(agent, took, expected)
+                elapsed_s = self._loop.time() - sent_at
+                self._record_success(agent, elapsed_s, expected_s)
                 self._record_step(
                     "prefilled", agent, f"{msg.cached_tokens} cached"
                 )
@@ -332,16 +337,16 @@
                     msg.kv, self._loop.time()
                 )
                 return None
-            broken = self._failure_of(msg)
-            if broken is not None:
-                return broken
+            failure = self._failure_of(msg)
+            if failure is not None:
+                return failure
 
     async def _wait_for_slot(self) -> None:
-        slot = self._granted[types.Role.DECODE].ready_in_s
-        done = self._granted[types.Role.PREFILL].ready_in_s
-        early = slot - done - MAX_PREFILL_LEAD_S
-        if early > 0.0:
-            await asyncio.sleep(early)
+        decode_ready_s = self._granted[types.Role.DECODE].ready_in_s
+        prefill_ready_s = self._granted[types.Role.PREFILL].ready_in_s
+        wait_s = decode_ready_s - prefill_ready_s - MAX_PREFILL_LEAD_S
+        if wait_s > 0.0:
+            await asyncio.sleep(wait_s)
 
     def _send_decode(self) -> None:
         peer = self._active_peers.get(self._agents[types.Role.DECODE])
@@ -386,9 +391,9 @@
                 self._active_peers.pop(self._agents[role], None)
                 self.result = self._check_length(msg, at)
                 return
-            broken = self._failure_of(msg)
-            if broken is not None:
-                self.result = broken
+            failure = self._failure_of(msg)
+            if failure is not None:
+                self.result = failure
                 return
             if first:
                 first = False
@@ -409,14 +414,14 @@
 
     def _record_first_event(self, role: types.Role, sent_at: float) -> None:
         agent = self._agents[role]
-        took = self._loop.time() - sent_at
+        elapsed_s = self._loop.time() - sent_at
         if role is types.Role.DECODE:
             load = self._granted[role].load
-            usual = self._requirements.kv_bytes / load.link_bytes_s
-            usual += load.step_s + self._granted[role].ready_in_s
+            expected_s = self._requirements.kv_bytes / load.link_bytes_s
+            expected_s += load.step_s + self._granted[role].ready_in_s
         else:
-            usual = took
-        self._record_success(agent, took, usual + 0.01)
+            expected_s = elapsed_s
+        self._record_success(agent, elapsed_s, expected_s + 0.01)
 
     def _events_of(
         self, msg: msgspec.Struct, at: int
@@ -452,7 +457,7 @@
             kept = None if msg.ran else self._retained_kv
             self._record_step("broke", agent or "", msg.reason.value)
             if not msg.ran and msg.part is self._first_role:
-                # Sealed by its agent: nothing has begun anywhere.
+                # The agent sealed the attempt, so that it never runs.
                 self.handed_over = False
             return outcome.FailedAttempt(msg.reason, msg.ran, agent, kept)
         if isinstance(msg, _LinkLost):
@@ -480,7 +485,7 @@
         inbox = self._inbox
         if not inbox.empty():
             return inbox.get_nowait()
-        # One timer is cheaper than a task for each wait.
+        # Cheaper than a task and a cancellation for each wait.
         timer = self._loop.call_later(
             max(0.0, wait_s), inbox.put_nowait, _TIMED_OUT
         )
@@ -489,10 +494,10 @@
         finally:
             timer.cancel()
 
-    # The end.
+    # Release.
 
     def release(self) -> None:
-        """Give back all that is still held for this attempt."""
+        """Release the endpoints that are still reserved for this attempt."""
         for peer in self._active_peers.values():
             self._send_release(peer)
         self._active_peers.clear()
--- a/rackpost/entry/open_request.py
+++ b/rackpost/entry/open_request.py
@@ -1,4 +1,4 @@
-"""A request that an entry is serving, through all its attempts."""
+"""The state of a request that an entry is serving."""
 
 from rackpost.entry import attempt as attempt_mod
 from rackpost.entry import claims as claims_mod
@@ -8,7 +8,16 @@
 
 
 class OpenRequest:
-    """A request that is being served, with its present attempt."""
+    """A request that is being served, with its current attempt.
+
+    Attributes:
+        delivered: answer events sent to the caller, without the head of a
+            plain answer; for a model these are tokens.
+        handed_over: whether an endpoint may have received the request.
+        claim_holder: the attempt that holds the request's claim key.
+        stored_answer: for a resend, the answer that an earlier attempt
+            with the same key gave.
+    """
 
     def __init__(self, *, req: request.Request, started_at: float) -> None:
         self.req = req
@@ -19,14 +28,15 @@
         self.handed_over = False
         self.first_event_at: float | None = None
         self.claim_holder: claims_mod.Holder | None = None
-        # The answer that the key was given before, for a resend.
         self.stored_answer: list[request.Event] = []
 
     def remaining_s(self, now: float) -> float:
-        """How long its next token may take, in seconds."""
-        past = now - self.started_at
+        """Return the time left until the next token is due, in seconds."""
+        elapsed_s = now - self.started_at
         if self.delivered:
-            # The first token was in time; a resumed stream has as long
-            # as a new request would.
-            return min(self.req.terms.ttft_s, self.req.terms.whole_s - past)
-        return self.req.terms.ttft_s - past
+            # A resumed stream may take as long to its next token as a new
+            # request to its first, within the limit for the whole answer.
+            return min(
+                self.req.terms.ttft_s, self.req.terms.whole_s - elapsed_s
+            )
+        return self.req.terms.ttft_s - elapsed_s
--- a/rackpost/entry/outcome.py
+++ b/rackpost/entry/outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt at a request ended."""
+"""The possible results of an attempt at a request."""
 
 from typing import Any
 from typing import NamedTuple
@@ -7,13 +7,16 @@
 
 
 class RefusedAttempt(NamedTuple):
-    """The attempt ended before anything was started."""
+    """The attempt was refused before any endpoint received the request."""
 
     reason: types.Refusal
 
 
 class RetainedKvCache(NamedTuple):
-    """A KV cache that its prefill endpoint still keeps for export."""
+    """A KV cache that its prefill endpoint still holds for transfer.
+
+    `since` is when the prefill finished, in loop time.
+    """
 
     kv: dict[str, Any]
     since: float
@@ -33,7 +36,11 @@
 
 
 class CompletedAttempt(NamedTuple):
-    """The attempt's answer has ended, after so many pieces or bytes."""
+    """The attempt gave its whole answer.
+
+    `length` counts from the start of the answer: tokens of a model, bytes
+    of a plain service.
+    """
 
     length: int
 
