--- a/lab/promises.py
+++ b/lab/promises.py
@@ -75,7 +75,7 @@
         "test_claims.py::test_after_the_entry_died_a_once_request_is_never"
         "_run_again",
         "rackpost/entry/claiming.py",
-        "        if not sealed.ran or (single and not sealed.whole):\n",
+        "        if not sealed.ran or (may_retry and not sealed.whole):\n",
         "        if True:\n",
     ),
     Mechanism(
--- a/rackpost/entry/attempt_result.py
+++ b/rackpost/entry/attempt_result.py
@@ -1,4 +1,4 @@
-"""How an entry ends a request: whether to try again, and what to tell."""
+"""Turns the result of an attempt into a retry or the request's end."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 from rackpost.decide import retry_after
 from rackpost.entry import attempt as attempt_mod
 from rackpost.entry import crash_tracker
-from rackpost.entry import demand_tracker as demand_tracker_mod
+from rackpost.entry import demand_tracker
 from rackpost.entry import open_request
 from rackpost.entry import outcome
 from rackpost.entry import pool as pool_mod
@@ -17,9 +17,9 @@
 
 __all__ = ["AttemptResultHandler"]
 
-# When a refused caller may come back, where nothing better is known.
+# Told to callers whose request failed and was not retried.
 _DEFAULT_RETRY_AFTER_S = 1.0
-# The key's own request may have run, or runs, under another attempt.
+# Refusals of a request whose key another attempt holds.
 _CLAIM_REFUSALS = frozenset(
     {
         types.Refusal.CLAIM_UNKNOWN,
@@ -39,13 +39,13 @@
 
 
 class AttemptResultHandler:
-    """Decides after each attempt, within the services' retry budgets."""
+    """Decides on each result, within the retry budgets of the services."""
 
     def __init__(
         self,
         *,
         pool: pool_mod.Pool,
-        demand: demand_tracker_mod.DemandTracker,
+        demand: demand_tracker.DemandTracker,
         metrics: metrics_mod.Metrics,
         rng: random.Random,
     ) -> None:
@@ -58,21 +58,24 @@
         self._budgets: dict[types.ServiceName, retry.RetryBudget] = {}
 
     def record_request(self, req: request.Request) -> None:
-        """A request is served, a share of which may be spent on retries."""
+        """Add a request's share to the retry budget of its service."""
         self._budget(req.service).record_request(req.terms.retry_share)
 
     def is_quarantined(self, req: request.Request) -> bool:
-        """Whether a request is held back, as engines ended under it."""
+        """Whether a request is quarantined, as engines crashed under it."""
         return self._crash_tracker.remaining_s(req, self._loop.time()) > 0.0
 
     def _budget(self, service: types.ServiceName) -> retry.RetryBudget:
         return self._budgets.setdefault(service, retry.RetryBudget())
 
     async def handle_result(
-        self, item: open_request.OpenRequest, att: attempt_mod.Attempt
+        self, item: open_request.OpenRequest, attempt: attempt_mod.Attempt
     ) -> request.End | None:
-        """What the caller is told after an attempt; None to try again."""
-        result = att.result
+        """Return the end of the request; None if it is to be retried.
+
+        Before a retry the back-off is waited for.
+        """
+        result = attempt.result
         if isinstance(result, outcome.CompletedAttempt):
             self._crash_tracker.record_answer(item.req, self._loop.time())
             self._metrics.count(
@@ -83,21 +86,21 @@
             )
         if isinstance(result, outcome.RefusedAttempt):
             return self.refuse_attempt(item, result.reason)
-        return await self._handle_failure(item, att, result)
+        return await self._handle_failure(item, attempt, result)
 
     async def _handle_failure(
         self,
         item: open_request.OpenRequest,
-        att: attempt_mod.Attempt,
-        broken: outcome.FailedAttempt,
+        attempt: attempt_mod.Attempt,
+        failure: outcome.FailedAttempt,
     ) -> request.End | None:
-        if broken.agent is not None and broken.reason in _AGENT_FAILURES:
-            self._pool.circuit_breakers.of(broken.agent).record_failure(
+        if failure.agent is not None and failure.reason in _AGENT_FAILURES:
+            self._pool.circuit_breakers.of(failure.agent).record_failure(
                 self._loop.time()
             )
-            att.excluded.add(broken.agent)
+            attempt.excluded.add(failure.agent)
         now = self._loop.time()
-        self._crash_tracker.record_failure(item.req, broken, now)
+        self._crash_tracker.record_failure(item.req, failure, now)
         if self._crash_tracker.remaining_s(item.req, now) > 0.0:
             return self.refuse(
                 item.req, types.Refusal.ENDS_ENGINES, types.Outcome.UNKNOWN
@@ -108,13 +111,15 @@
         elif item.handed_over:
             stage = retry.Stage.HANDED_OVER
         verdict = retry.after_failure(
-            reason=broken.reason,
-            ran=broken.ran,
+            reason=failure.reason,
+            ran=failure.ran,
             stage=stage,
             attempts=item.attempt_number,
             repeat=item.req.terms.repeat,
             left_s=item.remaining_s(now),
-            needed_s=self._needed_s(item, kept=broken.retained_kv is not None),
+            needed_s=self._needed_s(
+                item, prefilled=failure.retained_kv is not None
+            ),
             budget=self._budget(item.req.service),
             rng=self._rng,
         )
@@ -127,30 +132,30 @@
                 retry_in_s=_DEFAULT_RETRY_AFTER_S,
                 tokens=item.delivered,
             )
-        self._metrics.count("retried", broken.reason, item.req.kind)
+        self._metrics.count("retried", failure.reason, item.req.kind)
         await asyncio.sleep(verdict.pause_s)
         return None
 
     def _needed_s(
-        self, item: open_request.OpenRequest, *, kept: bool
+        self, item: open_request.OpenRequest, *, prefilled: bool
     ) -> float:
-        views_ = self._pool.views_of(item.req.service)
-        if item.req.plain is not None or not views_:
+        views = self._pool.views_of(item.req.service)
+        if item.req.plain is not None or not views:
             return 0.0
-        if kept:
+        if prefilled:
             return 0.0
         return min(
             view.prefill_s(item.req.prompt_tokens, item.req.blocks)
-            for view in views_
+            for view in views
         )
 
     def refuse_attempt(
         self, item: open_request.OpenRequest, reason: types.Refusal
     ) -> request.End:
-        """Tell that no endpoint took it, now or at an earlier attempt."""
+        """Refuse a request whose latest attempt was refused."""
         outcome = types.Outcome.NOT_RUN
         if item.handed_over or reason in _CLAIM_REFUSALS:
-            # An earlier attempt may have run, whatever became of this.
+            # Another attempt may have run.
             outcome = types.Outcome.UNKNOWN
         return self.refuse(item.req, reason, outcome)
 
@@ -160,7 +165,7 @@
         reason: types.Refusal,
         outcome: types.Outcome = types.Outcome.NOT_RUN,
     ) -> request.End:
-        """Tell that it is refused, and when to come back."""
+        """Return the end of a refused request, with its retry delay."""
         self._metrics.count("refused", reason, req.kind)
         self._metrics.count("requests", outcome, req.kind)
         return request.End(
--- a/rackpost/entry/claiming.py
+++ b/rackpost/entry/claiming.py
@@ -1,4 +1,4 @@
-"""The claims of an entry's requests: taken, settled, and sealed."""
+"""Claims the keys of an entry's requests, and settles their claims."""
 
 import asyncio
 import enum
@@ -15,7 +15,7 @@
 
 
 class _HolderStatus(enum.Enum):
-    """What became of an attempt that holds a key."""
+    """What is known of the attempt that holds a key."""
 
     FREE = "free"
     RUNNING = "running"
@@ -30,13 +30,17 @@
 
 
 class AlreadyAnswered(NamedTuple):
-    """The key was answered by this attempt."""
+    """An earlier attempt answered the request with this key."""
 
     holder: claims_mod.Holder
 
 
 class ClaimResolver:
-    """Claims keys at control, and asks agents about their holders."""
+    """Claims keys at control, and asks agents about other holders.
+
+    An agent seals an attempt on request: if the attempt has not run by
+    then, it never will.
+    """
 
     def __init__(
         self, *, claims: claims_mod.Claims, pool: pool_mod.Pool
@@ -54,30 +58,33 @@
         ] = {}
 
     async def claim(
-        self, req: request.Request, att: attempt_mod.Attempt
+        self, req: request.Request, attempt: attempt_mod.Attempt
     ) -> claims_mod.Holder | AlreadyAnswered | types.Refusal:
-        """Claim a request's key for a reserved attempt, or say why not."""
+        """Claim a request's key for a reserved attempt.
+
+        Return the attempt as the new holder, or why it is not.
+        """
         assert req.claim is not None
-        peer = att.answering_peer()
+        peer = attempt.answering_peer()
         if peer is None:
             return types.Refusal.LINK_LOST
-        mine = claims_mod.Holder(
-            peer.member.agent, peer.incarnation, req.req, att.number
+        claimant = claims_mod.Holder(
+            peer.member.agent, peer.incarnation, req.req, attempt.number
         )
         try:
-            reply = await self._claims.claim(key=req.claim, holder=mine)
+            reply = await self._claims.claim(key=req.claim, holder=claimant)
             if reply.state is claims_mod.ClaimState.RUNNING and reply.holder:
-                reply = await self._resolve_holder(req, mine, reply.holder)
+                reply = await self._resolve_holder(req, claimant, reply.holder)
         except exceptions.ControlError:
             return types.Refusal.CONTROL_AWAY
         if reply.state is claims_mod.ClaimState.ANSWERED and reply.holder:
             return AlreadyAnswered(reply.holder)
-        return _REFUSAL_BY_STATE.get(reply.state, mine)
+        return _REFUSAL_BY_STATE.get(reply.state, claimant)
 
     async def fetch_answer(
         self, answered: AlreadyAnswered
     ) -> list[request.Event]:
-        """What an answered attempt gave; nothing if it is not held."""
+        """Fetch a stored answer from its agent; empty if not available."""
         holder = answered.holder
         peer = self._pool.peer(holder.agent)
         if peer is None or peer.incarnation != holder.incarnation:
@@ -95,7 +102,7 @@
             self._pending_fetches.pop(key, None)
 
     def handle_held(self, msg: messages.Held) -> None:
-        """An agent answers a fetch."""
+        """Handle an agent's reply to a fetch."""
         fut = self._pending_fetches.get((msg.req, msg.attempt))
         if fut is not None and not fut.done():
             fut.set_result(msg)
@@ -103,39 +110,42 @@
     async def _resolve_holder(
         self,
         req: request.Request,
-        mine: claims_mod.Holder,
-        theirs: claims_mod.Holder,
+        claimant: claims_mod.Holder,
+        holder: claims_mod.Holder,
     ) -> claims_mod.ClaimReply:
-        """Free the key if its holder never ran, and claim it again."""
+        """Claim a key again that the agent of its holder lets go.
+
+        If the holder is not running, its claim is settled first.
+        """
         assert req.claim is not None
-        past = await self._holder_status(theirs, req.terms.repeat)
-        if past is _HolderStatus.RUNNING:
+        status = await self._holder_status(holder, req.terms.repeat)
+        if status is _HolderStatus.RUNNING:
             return claims_mod.ClaimReply(claims_mod.ClaimState.RUNNING)
         state = None
-        if past is _HolderStatus.UNKNOWN:
+        if status is _HolderStatus.UNKNOWN:
             state = claims_mod.ClaimState.UNKNOWN
-        await self._claims.settle(key=req.claim, holder=theirs, state=state)
-        return await self._claims.claim(key=req.claim, holder=mine)
+        await self._claims.settle(key=req.claim, holder=holder, state=state)
+        return await self._claims.claim(key=req.claim, holder=claimant)
 
     async def _holder_status(
         self, holder: claims_mod.Holder, repeat: types.RepeatClass
     ) -> _HolderStatus:
-        """Have an attempt sealed, and learn what became of it.
+        """Have the holder's attempt sealed, and return its status.
 
-        Its key is free if it never ran; and for a kind that may be tried
-        again inside, if it is over without its whole answer being sent.
+        The key is free if the attempt never ran, or if it ended without
+        its whole answer and the kind allows the entry to retry.
         """
         peer = self._pool.peer(holder.agent)
         if peer is None:
-            # Not linked at present: nothing is known, and it may run.
+            # Without a link the attempt may still be running.
             return _HolderStatus.RUNNING
         if peer.incarnation != holder.incarnation:
             return _HolderStatus.UNKNOWN
         sealed = await self._seal(peer, holder)
         if sealed is None or sealed.running:
             return _HolderStatus.RUNNING
-        single = repeat is types.RepeatClass.SINGLE
-        if not sealed.ran or (single and not sealed.whole):
+        may_retry = repeat is types.RepeatClass.SINGLE
+        if not sealed.ran or (may_retry and not sealed.whole):
             return _HolderStatus.FREE
         return _HolderStatus.UNKNOWN
 
@@ -155,7 +165,7 @@
             self._pending_seals.pop(key, None)
 
     def handle_sealed(self, msg: messages.Sealed) -> None:
-        """An agent answers a seal."""
+        """Handle an agent's reply to a seal."""
         fut = self._pending_seals.get((msg.req, msg.attempt))
         if fut is not None and not fut.done():
             fut.set_result(msg)
@@ -166,26 +176,25 @@
         holder: claims_mod.Holder,
         result: outcome.Result,
     ) -> None:
-        """Tell control how a claimed attempt ended."""
+        """Settle the claim of an attempt that ended."""
         assert req.claim is not None
         state: claims_mod.ClaimState | None = claims_mod.ClaimState.UNKNOWN
         if isinstance(result, outcome.CompletedAttempt):
             state = claims_mod.ClaimState.ANSWERED
         elif isinstance(result, outcome.FailedAttempt):
-            # Of what broke, only what an agent has sealed may run again
-            # under this key; a kind that may repeat inside is freed too,
-            # as this entry alone decides on its next attempt.
-            single = req.terms.repeat is types.RepeatClass.SINGLE
-            if not result.ran or single:
+            # The key is freed if the attempt never ran, or if the kind
+            # allows retries, as only this entry starts its next attempt.
+            may_retry = req.terms.repeat is types.RepeatClass.SINGLE
+            if not result.ran or may_retry:
                 state = None
         await self._claims.settle(key=req.claim, holder=holder, state=state)
 
 
-def _events_of(held: messages.Held) -> list[request.Event]:
-    if not held.found:
+def _events_of(reply: messages.Held) -> list[request.Event]:
+    if not reply.found:
         return []
-    end = request.End(outcome=types.Outcome.ANSWERED, tokens=len(held.pieces))
-    if held.status:
-        head = request.PlainHead(status=held.status, headers=held.headers)
-        return [head, request.PlainChunk(data=held.body), end]
-    return [*(request.TextChunk(text=text) for text in held.pieces), end]
+    end = request.End(outcome=types.Outcome.ANSWERED, tokens=len(reply.pieces))
+    if reply.status:
+        head = request.PlainHead(status=reply.status, headers=reply.headers)
+        return [head, request.PlainChunk(data=reply.body), end]
+    return [*(request.TextChunk(text=text) for text in reply.pieces), end]
--- a/rackpost/entry/claims.py
+++ b/rackpost/entry/claims.py
@@ -1,4 +1,4 @@
-"""Claims of requests that may not be answered twice."""
+"""Claims on idempotency keys, so that a request runs at most once."""
 
 import abc
 import enum
@@ -8,7 +8,7 @@
 
 
 class ClaimState(enum.Enum):
-    """What control knows of a claim key."""
+    """The state of a claim key at control."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -26,23 +26,23 @@
 
 
 class ClaimReply(NamedTuple):
-    """The state of a claim; `holder` is who has it, if not the asker."""
+    """The state of a claim key; `holder` is another attempt that has it."""
 
     state: ClaimState
     holder: Holder | None = None
 
 
 class Claims(abc.ABC):
-    """The claims as control keeps them.
+    """Claims that are stored at control.
 
-    Both methods raise ControlError where control does not answer in time.
+    Both methods raise ControlError if control does not answer in time.
     """
 
     @abc.abstractmethod
     async def claim(
         self, *, key: types.ClaimKey, holder: Holder
     ) -> ClaimReply:
-        """Claim the key before any endpoint sees the request."""
+        """Claim a key; called before an endpoint receives the request."""
 
     @abc.abstractmethod
     async def settle(
@@ -52,4 +52,4 @@
         holder: Holder,
         state: ClaimState | None,
     ) -> None:
-        """Say how it ended; None means that it never ran (sealed)."""
+        """Store how the holder ended; None if it can never run (sealed)."""
--- a/rackpost/entry/control_claims.py
+++ b/rackpost/entry/control_claims.py
@@ -1,4 +1,4 @@
-"""Claims over the link to control, many in one command."""
+"""Claims over the link to control, batched into commands."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class _PendingClaim:
-    """A claim that waits for the next batch."""
+    """A claim that is not yet answered."""
 
     def __init__(self, *, item: commands.ClaimOne) -> None:
         loop = asyncio.get_running_loop()
@@ -25,9 +25,9 @@
 
 
 class ControlClaims(claims.Claims):
-    """Collects claims while a batch is under way, then sends the next.
+    """Collects claims while a batch is in flight, then sends the next.
 
-    `now` gives seconds since the epoch.
+    `now` returns seconds since the epoch.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
     async def claim(
         self, *, key: types.ClaimKey, holder: claims.Holder
     ) -> claims.ClaimReply:
-        """Claim a key in the next batch."""
+        """Claim a key with the next batch."""
         item = commands.ClaimOne(
             key=key,
             agent=holder.agent,
@@ -53,10 +53,10 @@
             req=holder.req,
             attempt=holder.attempt,
         )
-        waiting = _PendingClaim(item=item)
-        self._pending_claims.append(waiting)
+        pending = _PendingClaim(item=item)
+        self._pending_claims.append(pending)
         self._has_pending.set()
-        return await waiting.fut
+        return await pending.fut
 
     async def settle(
         self,
@@ -65,11 +65,14 @@
         holder: claims.Holder,
         state: claims.ClaimState | None,
     ) -> None:
-        """Say in the next batch how an attempt ended."""
-        word = "sealed" if state is None else state.value
+        """Report with the next batch how an attempt ended."""
+        state_name = "sealed" if state is None else state.value
         self._pending_settlements.append(
             commands.SettleOne(
-                key=key, req=holder.req, attempt=holder.attempt, state=word
+                key=key,
+                req=holder.req,
+                attempt=holder.attempt,
+                state=state_name,
             )
         )
         self._has_pending.set()
@@ -88,12 +91,12 @@
         del self._pending_claims[:_MAX_BATCH]
         del self._pending_settlements[:_MAX_BATCH]
         now = self._now()
-        keep = self._client.in_force.tree.value(
+        keep_s = self._client.in_force.tree.value(
             "", "", "", "claim_keep_s", now
         )
         cmd = commands.ClaimBatch(
             at=now,
-            keep_s=float(keep),
+            keep_s=float(keep_s),
             claims=tuple(item.item for item in batch),
             settled=tuple(settled),
         )
@@ -103,14 +106,14 @@
             for item in batch:
                 if not item.fut.done():
                     item.fut.set_exception(exc)
-            # How an attempt ended must not be lost: it goes again.
+            # Settlements must not be lost: the next batch has them.
             self._pending_settlements = settled + self._pending_settlements
             await asyncio.sleep(_RETRY_INTERVAL_S)
             return
         assert isinstance(result, commands.ClaimResults)
-        for item, state, held in zip(batch, result.states, result.holders):
+        for item, state, found in zip(batch, result.states, result.holders):
             if not item.fut.done():
-                item.fut.set_result(_reply(state, held))
+                item.fut.set_result(_reply(state, found))
 
     async def _submit(
         self, cmd: commands.ClaimBatch, *, retry: bool
@@ -119,14 +122,14 @@
             with contextlib.suppress(exceptions.ControlError):
                 return await self._client.ask(cmd)
             await asyncio.sleep(_RETRY_INTERVAL_S)
-        # The same batch again gives the same holder the same grant.
+        # A batch may be sent twice: the same holder gets the same grant.
         return await self._client.ask(cmd)
 
 
-def _reply(state: str, held: commands.ClaimOne | None) -> claims.ClaimReply:
+def _reply(state: str, found: commands.ClaimOne | None) -> claims.ClaimReply:
     holder = None
-    if held is not None:
+    if found is not None:
         holder = claims.Holder(
-            held.agent, held.incarnation, held.req, held.attempt
+            found.agent, found.incarnation, found.req, found.attempt
         )
     return claims.ClaimReply(claims.ClaimState(state), holder)
--- a/rackpost/entry/core.py
+++ b/rackpost/entry/core.py
@@ -1,4 +1,4 @@
-"""The entry: owner of the callers' requests and of what they are told."""
+"""The entry: serves the requests of callers through agents."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 from rackpost.decide import endpoint_view
 from rackpost.decide import placement
 from rackpost.entry import attempt as attempt_mod
-from rackpost.entry import attempt_result as attempt_result_mod
+from rackpost.entry import attempt_result
 from rackpost.entry import claiming
 from rackpost.entry import claims as claims_mod
 from rackpost.entry import demand_tracker
@@ -29,38 +29,38 @@
 from rackpost import metrics as metrics_mod
 from rackpost import types
 
-# Requests of all callers that one entry holds at once.
+# Bounds the memory of one entry.
 MAX_OPEN_REQUESTS = 4096
-# A KV cache that was not fetched is used by another decode endpoint if it
-# is not older than this; engines keep it for less than a second.
+# A retry uses the KV cache of a failed attempt up to this age; engines keep
+# it for less than a second.
 _MAX_KV_REUSE_AGE_S = 0.4
 
 
 class SettingsSource:
-    """The settings that the entry runs on, as far as agents matter.
+    """Gives the settings revision and the membership of the site.
 
-    The base knows of none; a process's own knows its link to control.
+    This base class knows of neither.
     """
 
     def revision(self) -> types.Revision:
-        """The revision that is in force here."""
+        """Return the settings revision in force at this entry."""
         return types.Revision(0)
 
     def catch_up_to(self, revision: types.Revision) -> None:
-        """A peer runs on `revision`; fetch it if it is newer."""
+        """Fetch `revision`, which a peer runs on, if it is newer."""
 
     def member_count(
         self, service: types.ServiceName, role: types.Role
     ) -> int | None:
-        """How many endpoints the site has; None where that is not known.
+        """Return how many endpoints the site has; None if unknown.
 
-        An entry is linked to a few of many.
+        An entry is linked to a subset of them.
         """
         return None
 
 
 class EntryConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """Who the entry is."""
+    """The identity and limits of an entry."""
 
     entry: types.EntryId
     data_centre: types.DataCentre
@@ -68,10 +68,10 @@
 
 
 class Entry:
-    """Serves requests over the agents that it is linked to.
+    """Serves requests through the agents that it is linked to.
 
-    `entry_count` tells how many entries the site has at present, `events`
-    what is declared for a service, `wall` seconds since the epoch.
+    `entry_count` returns how many entries the site has now, `events` the
+    declared events of a service, and `wall` seconds since the epoch.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self._loop = asyncio.get_running_loop()
         self._open: dict[types.RequestId, open_request.OpenRequest] = {}
         self._by_caller: dict[types.CallerId, int] = {}
-        self._result_handler = attempt_result_mod.AttemptResultHandler(
+        self._result_handler = attempt_result.AttemptResultHandler(
             pool=self.pool, demand=self.demand, metrics=self.metrics, rng=rng
         )
         self._stopping = False
@@ -123,7 +123,7 @@
     def add_agent(
         self, member: pool_mod.Member, conn: channel.Channel
     ) -> None:
-        """A link to an agent is up."""
+        """Add an agent whose link is up."""
         peer = self.pool.add(member, conn)
         conn.attach(
             receive=lambda msg: self._on_message(peer, msg),
@@ -178,20 +178,20 @@
         else:
             why = types.Drop.OLD_ATTEMPT
         self.metrics.count("dropped", why)
-        ended = (messages.Done, messages.Failed, messages.Refused)
-        if not isinstance(msg, ended):
-            # Whoever still works on it is told that nobody waits.
+        final_kinds = (messages.Done, messages.Failed, messages.Refused)
+        if not isinstance(msg, final_kinds):
+            # The agent still works for a request that has ended here.
             peer.conn.send(messages.Release(req=req, attempt=number))
 
     # Requests.
 
     @property
     def open_requests(self) -> int:
-        """Requests that are being served."""
+        """The number of requests that are being served."""
         return len(self._open)
 
     def stop(self) -> None:
-        """Refuse new requests; those in flight go on."""
+        """Refuse new requests; those in flight continue."""
         self._stopping = True
 
     async def drained(self) -> None:
@@ -203,8 +203,8 @@
     ) -> AsyncGenerator[request.Event, None]:
         """Serve one request; the last event is its `End`.
 
-        Closing the generator early, as when the caller is gone, releases
-        all that is held for the request.
+        Closing the generator early, for instance when the caller has
+        disconnected, releases all that the request holds.
         """
         self.traces.start(
             req=req.req,
@@ -258,59 +258,59 @@
     ) -> AsyncGenerator[request.Event, None]:
         req = item.req
         self._result_handler.record_request(req)
-        denser = self.demand.record_request(
+        higher_density = self.demand.record_request(
             req, self.pool.views_of(req.service)
         )
         while True:
-            att = self._new_attempt(item, denser)
-            reason = await att.reserve()
+            attempt = self._new_attempt(item, higher_density)
+            reason = await attempt.reserve()
             if reason is None:
-                reason = await self._claim(item, att)
+                reason = await self._claim(item, attempt)
             if reason is not None:
-                att.release()
+                attempt.release()
                 for event in item.stored_answer:
                     yield event
                 if not item.stored_answer:
                     yield self._result_handler.refuse_attempt(item, reason)
                 return
-            async with contextlib.aclosing(att.run()) as events:
+            async with contextlib.aclosing(attempt.run()) as events:
                 async for event in events:
                     if not isinstance(event, request.PlainHead):
                         item.delivered += 1
                     yield event
-            att.release()
-            item.handed_over = item.handed_over or att.handed_over
+            attempt.release()
+            item.handed_over = item.handed_over or attempt.handed_over
             if (
                 self._claim_resolver is not None
                 and item.claim_holder is not None
             ):
                 await self._claim_resolver.settle(
-                    req, item.claim_holder, att.result
+                    req, item.claim_holder, attempt.result
                 )
                 item.claim_holder = None
-            end = await self._result_handler.handle_result(item, att)
+            end = await self._result_handler.handle_result(item, attempt)
             if end is not None:
                 yield end
                 return
 
     async def _claim(
-        self, item: open_request.OpenRequest, att: attempt_mod.Attempt
+        self, item: open_request.OpenRequest, attempt: attempt_mod.Attempt
     ) -> types.Refusal | None:
         if item.req.claim is None or self._claim_resolver is None:
             return None
-        found = await self._claim_resolver.claim(item.req, att)
-        if isinstance(found, types.Refusal):
-            return found
-        if isinstance(found, claiming.AlreadyAnswered):
-            item.stored_answer = await self._claim_resolver.fetch_answer(found)
+        claim = await self._claim_resolver.claim(item.req, attempt)
+        if isinstance(claim, types.Refusal):
+            return claim
+        if isinstance(claim, claiming.AlreadyAnswered):
+            item.stored_answer = await self._claim_resolver.fetch_answer(claim)
             return types.Refusal.CLAIM_ANSWERED
-        item.claim_holder = found
+        item.claim_holder = claim
         return None
 
     def _new_attempt(
         self,
         item: open_request.OpenRequest,
-        denser: demand.HigherDensityDemand,
+        higher_density: demand.HigherDensityDemand,
     ) -> attempt_mod.Attempt:
         req = item.req
         item.attempt_number += 1
@@ -319,10 +319,10 @@
         if item.attempt is not None:
             excluded = item.attempt.excluded
             kept = self._reusable_kv(item.attempt.result)
-        att = attempt_mod.Attempt(
+        attempt = attempt_mod.Attempt(
             req=req,
             number=types.Attempt(item.attempt_number),
-            requirements=self._requirements(item, denser),
+            requirements=self._requirements(item, higher_density),
             offset=item.delivered,
             pool=self.pool,
             policy=self._policies[req.plain is not None],
@@ -332,9 +332,9 @@
             priority=-int(req.terms.weight * 100),
             retained_kv=kept,
         )
-        att.excluded |= excluded
-        item.attempt = att
-        return att
+        attempt.excluded |= excluded
+        item.attempt = attempt
+        return attempt
 
     def _reusable_kv(
         self, result: outcome.Result
@@ -352,7 +352,7 @@
     def _requirements(
         self,
         item: open_request.OpenRequest,
-        denser: demand.HigherDensityDemand,
+        higher_density: demand.HigherDensityDemand,
     ) -> endpoint_view.Requirements:
         req = item.req
         return endpoint_view.Requirements(
@@ -364,7 +364,7 @@
             kv_bytes=req.kv_bytes,
             ttft_s=item.remaining_s(self._loop.time()),
             tbt_s=req.terms.tbt_s,
-            higher_density=denser,
+            higher_density=higher_density,
         )
 
     def _observe(
--- a/rackpost/entry/crash_tracker.py
+++ b/rackpost/entry/crash_tracker.py
@@ -1,7 +1,7 @@
-"""Requests under which engines end, as one entry sees them.
+"""Quarantine of requests that crash engines, within one entry.
 
-Entries do not tell each other, so that a request may end three engines at
-each of them before it is held back there.
+Entries do not share what they learn, so each quarantines a request only
+after the crashes that it saw itself.
 """
 
 from rackpost.decide import fingerprint
@@ -10,8 +10,8 @@
 from rackpost.entry import request
 from rackpost import types
 
-# What ends with its engine; a stall or a slow reader is none of the request's
-# doing.
+# Failures that may be a crash caused by the request, unlike a stall or a
+# slow caller.
 _CRASH_FAILURES = frozenset(
     {
         types.Failure.AGENT,
@@ -22,40 +22,40 @@
 
 
 class CrashTracker:
-    """The book of one entry."""
+    """The crashes that one entry saw, by request."""
 
     def __init__(self) -> None:
         self._quarantine = quarantine.Quarantine()
 
     def record_failure(
-        self, req: request.Request, broken: outcome.FailedAttempt, now: float
+        self, req: request.Request, failure: outcome.FailedAttempt, now: float
     ) -> None:
-        """An attempt broke off; whether it ran is known.
+        """Record a failed attempt, if it may have crashed its engine.
 
-        An agent tells no lives of its engine.  One that ended is away for
-        seconds, so that what broke there in another second is another life.
+        Agents do not report the incarnation of their engine, so the second
+        of the failure stands for it: a restart takes longer than that.
         """
-        if not broken.ran or broken.agent is None:
+        if not failure.ran or failure.agent is None:
             return
-        if broken.reason not in _CRASH_FAILURES:
+        if failure.reason not in _CRASH_FAILURES:
             return
-        found = quarantine.Suspicion(
+        suspicion = quarantine.Suspicion(
             request=_fingerprint(req),
-            endpoint=types.EndpointId(broken.agent),
+            endpoint=types.EndpointId(failure.agent),
             born=int(now),
         )
         self._quarantine.forget(now)
-        self._quarantine.add([found], now)
+        self._quarantine.add([suspicion], now)
 
     def record_answer(self, req: request.Request, now: float) -> None:
-        """A request was answered in full, so that it ends no engine."""
+        """Record a whole answer, which clears the request of suspicion."""
         if len(self._quarantine):
             self._quarantine.add(
                 self._quarantine.clearances(_fingerprint(req)), now
             )
 
     def remaining_s(self, req: request.Request, now: float) -> float:
-        """How much longer a request is held back, in seconds; 0 if not."""
+        """Return how long a request stays quarantined, in seconds."""
         if not self._quarantine.may_hold_any():
             return 0.0
         return self._quarantine.remaining_s(_fingerprint(req), now)
@@ -63,12 +63,12 @@
 
 def _fingerprint(req: request.Request) -> types.Fingerprint:
     plain = req.plain
-    asked = f"{req.service} {req.kind}"
+    target = f"{req.service} {req.kind}"
     if plain is not None:
-        asked = f"{asked} {plain.path}?{plain.query}"
+        target = f"{target} {plain.path}?{plain.query}"
     return fingerprint.fingerprint(
         organisation=types.OrganisationName(req.caller),
         method=b"" if plain is None else plain.method.encode(),
-        target=asked.encode(),
+        target=target.encode(),
         body=req.body,
     )
--- a/rackpost/entry/demand_tracker.py
+++ b/rackpost/entry/demand_tracker.py
@@ -1,4 +1,4 @@
-"""The demand that an entry is offered, and what counts more of it."""
+"""The demand offered to an entry, by density (weight per cost)."""
 
 import asyncio
 from typing import Callable
@@ -15,12 +15,12 @@
 DeclaredEvents = Callable[
     [types.ServiceName], Sequence[declared_events_mod.DeclaredEvent]
 ]
-# How many endpoints of a service and role the site has; None if unknown.
+# Returns how many endpoints of a service and role the site has, or None.
 MemberCount = Callable[[types.ServiceName, types.Role], int | None]
 
 
 class _ServiceDemand:
-    """What is offered to one service."""
+    """The demand for one service."""
 
     def __init__(self) -> None:
         self.demand = demand.DemandEstimator()
@@ -29,10 +29,10 @@
 
 
 class DemandTracker:
-    """Counts each request once, and says what is denser than it.
+    """Records each request, and estimates the demand of higher density.
 
-    `entries` tells how many entries the site has, `wall` seconds since
-    the epoch, which declared events are given in.
+    `entries` returns how many entries the site has, and `wall` seconds
+    since the epoch, which the times of declared events use.
     """
 
     def __init__(
@@ -55,10 +55,11 @@
         req: request.Request,
         linked: Sequence[endpoint_view.EndpointView],
     ) -> demand.HigherDensityDemand:
-        """What denser requests will take, of all entries, per endpoint.
+        """Record a request, and return the demand of higher density.
 
-        The platform's balancer spreads callers evenly, so the other
-        entries are taken to be offered as much as this one.
+        The result is for the whole site, per endpoint.  Other entries are
+        assumed to receive as much as this one, as callers are balanced
+        evenly over them.
         """
         if req.plain is not None:
             return demand.NO_DEMAND
@@ -70,18 +71,18 @@
         self._update_declared_rates(
             req.service, service.demand, offer.at, entries
         )
-        prefills = self._members(req.service, types.Role.PREFILL)
-        decodes = self._members(req.service, types.Role.DECODE)
+        prefill_endpoints = self._members(req.service, types.Role.PREFILL)
+        decode_endpoints = self._members(req.service, types.Role.DECODE)
         service.last_higher_density = service.demand.higher_density_than(
             offer
         ).scaled(
-            entries / max(1, decodes or pool.decode_endpoints),
-            entries / max(1, prefills or pool.prefill_endpoints),
+            entries / max(1, decode_endpoints or pool.decode_endpoints),
+            entries / max(1, prefill_endpoints or pool.prefill_endpoints),
         )
         return service.last_higher_density
 
     def last_higher_density_load(self, service: types.ServiceName) -> float:
-        """The share of prefill time denser than the last request."""
+        """Return the prefill load above the density of the last request."""
         found = self._services.get(service)
         if found is None:
             return 0.0
@@ -110,19 +111,21 @@
     def _update_declared_rates(
         self,
         service: types.ServiceName,
-        seen: demand.DemandEstimator,
+        estimator: demand.DemandEstimator,
         at: float,
         entries: int,
     ) -> None:
         declared = self._events(service)
         if not declared:
-            seen.set_declared_rates({})
+            estimator.set_declared_rates({})
             return
-        rates = {kind: rate * entries for kind, rate in seen.rates(at).items()}
+        rates = {
+            kind: rate * entries for kind, rate in estimator.rates(at).items()
+        }
         found = declared_events_mod.expected_rates(
             declared, seen=rates, now=self._wall()
         )
-        # This entry's part of what the whole site expects.
-        seen.set_declared_rates(
+        # This entry's share of the rates of the site.
+        estimator.set_declared_rates(
             {kind: rate / entries for kind, rate in found.items()}
         )
