--- a/rackpost/entry/http.py
+++ b/rackpost/entry/http.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP face: one ASGI application for callers."""
+"""The entry's HTTP API: an ASGI application for callers."""
 
 import asyncio
 import hashlib
@@ -22,7 +22,7 @@
 from rackpost.state import tree as tree_mod
 from rackpost import types
 
-# A caller has this long to send its body, in seconds.
+# How long a caller may take to send its body.
 BODY_TIMEOUT_S = 10.0
 _KIND_HEADER = "x-rackpost-kind"
 _MAX_IDEMPOTENCY_KEY = 256
@@ -31,7 +31,7 @@
 
 
 class _CallerContext:
-    """Who asks, for what, on which terms."""
+    """The caller, service and kind of a request, with their settings."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.terms = tree.terms(caller, service, kind, time.time())
 
     def number(self, name: str) -> int:
-        """An effective setting that is a number."""
+        """Return the value of an integer setting."""
         value = self._tree.value(
             self.caller, self.service, self.kind, name, time.time()
         )
@@ -56,10 +56,10 @@
 
 
 class CallerApp:
-    """Routes of the callers' interface.
+    """The routes of the callers' API.
 
-    `tree` gives the settings in force, `ready` tells whether there are
-    any yet, and `metrics_text` what /metrics shows.
+    `tree` returns the settings in force, and `ready` whether the entry has
+    received any yet.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
             ]
         )
 
-    # Pages for operators.
+    # Metrics, health checks and traces.
 
     async def _metrics(self, _: requests.Request) -> responses.Response:
         metrics = self._entry.metrics
@@ -108,17 +108,17 @@
         return responses.PlainTextResponse("no settings yet\n", 503)
 
     async def _trace(self, req: requests.Request) -> responses.Response:
-        """The steps of one of the caller's own latest requests."""
-        name = types.RequestId(req.path_params["request_id"])
+        """Return the trace of one of the caller's latest requests."""
+        request_id = types.RequestId(req.path_params["request_id"])
         try:
             _, caller = self._authenticate(req)
-            found = self._entry.traces.get(name)
+            found = self._entry.traces.get(request_id)
             if found is None or found.caller != caller:
                 raise exceptions.BadRequest(
                     "unknown-request", "not one of your latest", status=404
                 )
         except exceptions.BadRequest as exc:
-            return _bad_request_response(exc, name)
+            return _bad_request_response(exc, request_id)
         return responses.Response(
             msgspec.json.encode(found), media_type="application/json"
         )
@@ -134,7 +134,7 @@
     async def _model(
         self, req: requests.Request, *, chat: bool
     ) -> responses.Response:
-        name = _new_id()
+        request_id = _new_id()
         try:
             tree, caller = self._authenticate(req)
             data = await _body(req)
@@ -151,16 +151,18 @@
                     )
                 ),
             )
-            who = self._context(req, tree, caller, parsed.model)
-            asked = self._model_request(req, name, who, parsed)
+            context = self._context(req, tree, caller, parsed.model)
+            model_request = self._model_request(
+                req, request_id, context, parsed
+            )
         except exceptions.BadRequest as exc:
-            return _bad_request_response(exc, name)
+            return _bad_request_response(exc, request_id)
         writer = openai.Writer(
-            parsed=parsed, req=name, created=int(time.time())
+            parsed=parsed, req=request_id, created=int(time.time())
         )
         return answers.ModelAnswer(
-            events=self._entry.serve(asked),
-            req=name,
+            events=self._entry.serve(model_request),
+            req=request_id,
             writer=writer,
             stream=parsed.stream,
         )
@@ -168,31 +170,33 @@
     def _model_request(
         self,
         req: requests.Request,
-        name: types.RequestId,
-        who: _CallerContext,
+        request_id: types.RequestId,
+        context: _CallerContext,
         parsed: openai.Parsed,
     ) -> request.Request:
-        if self._service_type(who) != "model":
+        if self._service_type(context) != "model":
             raise exceptions.BadRequest(
-                "unknown-model", f"{who.service!r} is not a model", status=404
+                "unknown-model",
+                f"{context.service!r} is not a model",
+                status=404,
             )
         tokens = prefix.count_tokens(parsed.prompt)
-        if tokens > who.number("max_prompt"):
+        if tokens > context.number("max_prompt"):
             raise exceptions.BadRequest(
                 "prompt-too-long", f"about {tokens} tokens", status=413
             )
         return request.Request(
-            req=name,
-            caller=who.caller,
-            service=types.ServiceName(who.service),
-            kind=types.KindName(who.kind),
-            terms=who.terms,
+            req=request_id,
+            caller=context.caller,
+            service=types.ServiceName(context.service),
+            kind=types.KindName(context.kind),
+            terms=context.terms,
             body=parsed.body,
             prompt_tokens=tokens,
             max_tokens=parsed.max_tokens,
             blocks=prefix.block_hashes(parsed.prompt),
-            kv_bytes=tokens * who.number("kv_token_bytes"),
-            claim=_claim_key(req, who),
+            kv_bytes=tokens * context.number("kv_token_bytes"),
+            claim=_claim_key(req, context),
         )
 
     async def _models(self, req: requests.Request) -> responses.Response:
@@ -209,24 +213,26 @@
         return responses.JSONResponse({"object": "list", "data": found})
 
     async def _plain(self, req: requests.Request) -> responses.Response:
-        name = _new_id()
+        request_id = _new_id()
         try:
             tree, caller = self._authenticate(req)
-            who = self._context(req, tree, caller, req.path_params["service"])
-            if self._service_type(who) != "plain":
+            context = self._context(
+                req, tree, caller, req.path_params["service"]
+            )
+            if self._service_type(context) != "plain":
                 raise exceptions.BadRequest(
                     "unknown-service",
-                    f"{who.service!r} is not a plain service",
+                    f"{context.service!r} is not a plain service",
                     status=404,
                 )
-            asked = request.Request(
-                req=name,
-                caller=who.caller,
-                service=types.ServiceName(who.service),
-                kind=types.KindName(who.kind),
-                terms=who.terms,
+            plain_request = request.Request(
+                req=request_id,
+                caller=context.caller,
+                service=types.ServiceName(context.service),
+                kind=types.KindName(context.kind),
+                terms=context.terms,
                 body=await _body(req),
-                claim=_claim_key(req, who),
+                claim=_claim_key(req, context),
                 plain=request.PlainCall(
                     method=req.method,
                     path="/" + req.path_params["path"],
@@ -235,8 +241,10 @@
                 ),
             )
         except exceptions.BadRequest as exc:
-            return _bad_request_response(exc, name)
-        return answers.PlainAnswer(events=self._entry.serve(asked), req=name)
+            return _bad_request_response(exc, request_id)
+        return answers.PlainAnswer(
+            events=self._entry.serve(plain_request), req=request_id
+        )
 
     def _authenticate(
         self, req: requests.Request
@@ -284,10 +292,14 @@
             caller=caller, service=service, kind=kind, tree=tree
         )
 
-    def _service_type(self, who: _CallerContext) -> str:
+    def _service_type(self, context: _CallerContext) -> str:
         return str(
             self._tree().value(
-                who.caller, who.service, who.kind, "type", time.time()
+                context.caller,
+                context.service,
+                context.kind,
+                "type",
+                time.time(),
             )
         )
 
@@ -297,44 +309,44 @@
 
 
 def _forwarded_headers(req: requests.Request) -> tuple[tuple[str, str], ...]:
-    ours = {"authorization", _KIND_HEADER}
+    dropped = {"authorization", _KIND_HEADER}
     headers = engine_http.end_to_end_headers(tuple(req.headers.items()))
-    return tuple(item for item in headers if item[0] not in ours)
+    return tuple(item for item in headers if item[0] not in dropped)
 
 
 def _claim_key(
-    req: requests.Request, who: _CallerContext
+    req: requests.Request, context: _CallerContext
 ) -> types.ClaimKey | None:
-    if who.terms.repeat is types.RepeatClass.FREE:
+    if context.terms.repeat is types.RepeatClass.FREE:
         return None
     key = req.headers.get("idempotency-key", "")
     if not key:
         raise exceptions.BadRequest(
             "no-idempotency-key",
-            f"requests of kind {who.kind!r} need an Idempotency-Key",
+            f"requests of kind {context.kind!r} need an Idempotency-Key",
         )
     if len(key) > _MAX_IDEMPOTENCY_KEY:
         raise exceptions.BadRequest(
             "bad-idempotency-key", f"longer than {_MAX_IDEMPOTENCY_KEY}"
         )
-    whole = f"{who.caller}\n{who.service}\n{key}".encode()
-    return types.ClaimKey(hashlib.sha256(whole).hexdigest()[:32])
+    scoped_key = f"{context.caller}\n{context.service}\n{key}".encode()
+    return types.ClaimKey(hashlib.sha256(scoped_key).hexdigest()[:32])
 
 
 async def _body(req: requests.Request) -> bytes:
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     try:
         async with asyncio.timeout(BODY_TIMEOUT_S):
-            async for part in req.stream():
-                size += len(part)
+            async for chunk in req.stream():
+                size += len(chunk)
                 if size > openai.MAX_BODY_BYTES:
                     raise exceptions.BadRequest(
                         "too-large",
                         f"over {openai.MAX_BODY_BYTES} bytes",
                         status=413,
                     )
-                parts.append(part)
+                chunks.append(chunk)
     except TimeoutError:
         raise exceptions.BadRequest(
             "slow-body", f"not all there in {BODY_TIMEOUT_S:g} s", status=408
@@ -343,10 +355,10 @@
         raise exceptions.BadRequest(
             "caller-gone", "the caller left", status=400
         ) from None
-    return b"".join(parts)
+    return b"".join(chunks)
 
 
 def _bad_request_response(
-    exc: exceptions.BadRequest, name: types.RequestId
+    exc: exceptions.BadRequest, request_id: types.RequestId
 ) -> responses.Response:
-    return answers.problem_response(openai.bad_request(exc, name))
+    return answers.problem_response(openai.bad_request(exc, request_id))
--- a/rackpost/entry/openai.py
+++ b/rackpost/entry/openai.py
@@ -1,7 +1,7 @@
-"""The callers' interface: OpenAI requests in, chunks and errors out.
+"""Parsing of OpenAI API requests, and formatting of their responses.
 
-Fields as in the published OpenAI API for chat completions and
-completions; unknown fields are passed on to the engine as they are.
+Covers chat completions and completions.  Fields that rackpost does not use
+are forwarded to the engine unchanged.
 """
 
 from typing import Annotated
@@ -17,7 +17,7 @@
 from rackpost import types
 
 MAX_BODY_BYTES = 4 << 20
-# JSON nested deeper than this is refused before it is parsed.
+# Protects the JSON parser, which recurses.
 MAX_DEPTH = 64
 _MAX_MESSAGES = 2048
 
@@ -25,27 +25,27 @@
 
 
 class _ContentPart(msgspec.Struct):
-    """One part of a message's content."""
+    """One part of a chat message's content."""
 
     type: str
     text: str = ""
 
 
 class _ChatMessage(msgspec.Struct):
-    """One message of a chat."""
+    """One chat message."""
 
     role: str
     content: Union[str, list[_ContentPart], None] = None
 
 
 class _StreamOptions(msgspec.Struct):
-    """What a streamed answer contains besides its text."""
+    """Options of a streamed answer."""
 
     include_usage: bool = False
 
 
 class _RequestFields(msgspec.Struct):
-    """The fields that rackpost looks at."""
+    """The request fields that rackpost uses."""
 
     model: str
     messages: list[_ChatMessage] | None = None
@@ -58,7 +58,7 @@
 
 
 class Parsed(msgspec.Struct, frozen=True, kw_only=True):
-    """A request, checked.  `body` is what the engine is given."""
+    """A validated request; `body` is what the engine receives."""
 
     model: str
     chat: bool
@@ -71,18 +71,18 @@
 
 def _check_depth(data: bytes) -> None:
     depth = 0
-    quoted = False
-    skip = False
+    in_string = False
+    escaped = False
     for byte in data:
-        if skip:
-            skip = False
-        elif quoted:
+        if escaped:
+            escaped = False
+        elif in_string:
             if byte == 0x5C:
-                skip = True
+                escaped = True
             elif byte == 0x22:
-                quoted = False
+                in_string = False
         elif byte == 0x22:
-            quoted = True
+            in_string = True
         elif byte in b"[{":
             depth += 1
             if depth > MAX_DEPTH:
@@ -96,11 +96,12 @@
 def parse(
     data: bytes, *, chat: bool, default_tokens: Callable[[str], int]
 ) -> Parsed:
-    """Check a request's body; BadRequest says what is wrong with it.
+    """Parse and validate a request's body; raise BadRequest if invalid.
 
-    `default_tokens` gives the limit for a model where none is asked for.
+    `default_tokens` returns a model's limit on output tokens, for requests
+    without one.
     """
-    # Only bodies that could be nested too deep need the slow look.
+    # Skips the slow check for bodies with too few brackets to fail it.
     if data.count(b"[") + data.count(b"{") > MAX_DEPTH:
         _check_depth(data)
     try:
@@ -121,7 +122,7 @@
     raw.pop("stream_options", None)
     raw.pop("max_completion_tokens", None)
     for name in ("kv_transfer_params", "priority"):
-        # These steer the engine and are not the caller's to set.
+        # Callers may not control the engine's scheduling and transfers.
         raw.pop(name, None)
     raw["max_tokens"] = limit
     options = asked.stream_options or _StreamOptions()
@@ -158,7 +159,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens of the prompt, as estimated, and of the answer."""
+    """Token counts of the prompt, which is estimated, and the answer."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -166,7 +167,7 @@
 
 
 def usage_of(prompt: bytes, tokens: int) -> Usage:
-    """The usage of an answer of so many tokens."""
+    """Return the usage of an answer of `tokens` tokens."""
     asked = prefix.count_tokens(prompt)
     return Usage(
         prompt_tokens=asked,
@@ -176,7 +177,7 @@
 
 
 class Writer:
-    """Writes the answer to one request in the API's shapes."""
+    """Formats the answer to one request as the API specifies."""
 
     def __init__(
         self, *, parsed: Parsed, req: types.RequestId, created: int
@@ -195,7 +196,7 @@
         }
 
     def chunk(self, text: str | None, finish: str | None) -> bytes:
-        """A server-sent event with a piece of the answer, or its end."""
+        """Return a server-sent event with text, a finish reason or both."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": finish}
         if self._parsed.chat:
             delta: dict[str, str] = {}
@@ -214,7 +215,7 @@
         return _sse_event(event)
 
     def final_events(self, tokens: int) -> bytes:
-        """The last events of a streamed answer."""
+        """Return the last events of a complete streamed answer."""
         data = self.chunk(None, "stop")
         if self._parsed.usage:
             kind = "text_completion"
@@ -227,11 +228,11 @@
         return data + b"data: [DONE]\n\n"
 
     def error_event(self, end: request.End) -> bytes:
-        """The last event of a streamed answer that broke off."""
+        """Return the last event of a streamed answer that failed."""
         return _sse_event({"error": problem(end, self._req)})
 
     def complete_body(self, text: str, tokens: int) -> bytes:
-        """A whole answer in one body."""
+        """Return the body of an answer that is not streamed."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         if self._parsed.chat:
             kind = "chat.completion"
@@ -250,7 +251,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """An error, as application/problem+json (RFC 9457)."""
+    """An error in the format application/problem+json (RFC 9457)."""
 
     type: str
     title: str
@@ -271,7 +272,7 @@
 
 
 def status_of(end: request.End) -> int:
-    """The HTTP status that goes with a request's end."""
+    """Return the HTTP status for the end of a failed request."""
     if end.outcome is types.Outcome.UNKNOWN:
         if isinstance(end.reason, types.Refusal):
             return _STATUS.get(end.reason, 502)
@@ -282,7 +283,7 @@
 
 
 def problem(end: request.End, req: types.RequestId) -> Problem:
-    """The problem that tells a caller how its request ended."""
+    """Return the problem for a request that was refused or failed."""
     reason = end.reason.value if end.reason is not None else "none"
     title = "The request did not run"
     if end.outcome is types.Outcome.UNKNOWN:
@@ -299,7 +300,7 @@
 
 
 def bad_request(exc: exceptions.BadRequest, req: types.RequestId) -> Problem:
-    """The problem that tells a caller what is wrong with its request."""
+    """Return the problem for an invalid request."""
     return Problem(
         type=f"urn:rackpost:{exc.reason}",
         title="The request can't be served as it is",
--- a/rackpost/entry/pool.py
+++ b/rackpost/entry/pool.py
@@ -1,4 +1,4 @@
-"""The endpoints that an entry knows, and its links to their agents."""
+"""The agents that an entry is linked to, and views of their endpoints."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """An agent as the entry is told of it."""
+    """An agent as registered at control; `delay_s` is one way."""
 
     agent: types.AgentId
     service: types.ServiceName
@@ -51,7 +51,7 @@
         ] = {}
 
     def add(self, member: Member, conn: channel.Channel) -> Peer:
-        """A link to an agent is up."""
+        """Add an agent whose link is up, in place of its earlier link."""
         view = endpoint_view.EndpointView(
             agent=member.agent,
             service=member.service,
@@ -67,32 +67,35 @@
         return peer
 
     def remove(self, agent: types.AgentId) -> None:
-        """The link to an agent is gone."""
+        """Remove an agent whose link is lost."""
         peer = self._peers.pop(agent, None)
         if peer is not None:
             self._by_service[peer.member.service].remove(peer.view)
 
     def peer(self, agent: types.AgentId) -> Peer | None:
-        """The link to an agent, if it is up."""
+        """Return the link to an agent, if it is up."""
         return self._peers.get(agent)
 
     def peers(self) -> Iterable[Peer]:
-        """All links."""
+        """Return all linked agents."""
         return list(self._peers.values())
 
     def views_of(
         self, service: types.ServiceName
     ) -> list[endpoint_view.EndpointView]:
-        """The endpoints of a service, with who is to be avoided."""
+        """Return views of a service's endpoints.
+
+        Those with an open circuit breaker are marked as avoided.
+        """
         now = self._loop.time()
-        found = self._by_service.get(service, [])
-        for view in found:
+        views = self._by_service.get(service, [])
+        for view in views:
             state = self.circuit_breakers.of(view.agent).state(now)
             view.avoided = state is circuit_breaker.State.OPEN
-        return found
+        return views
 
     def update_load(self, agent: types.AgentId, load: messages.Load) -> None:
-        """An agent has said its load."""
+        """Store the load that an agent reported."""
         peer = self._peers.get(agent)
         if peer is not None:
             peer.view.update(load, self._loop.time())
--- a/rackpost/entry/process.py
+++ b/rackpost/entry/process.py
@@ -1,4 +1,4 @@
-"""The entry as a process: its links, its settings, its callers."""
+"""The entry process: links to control and agents, and the HTTP server."""
 
 import asyncio
 import contextlib
@@ -31,27 +31,27 @@
 
 
 class _ControlSettings(core.SettingsSource):
-    """What the entry's link to control has put in force."""
+    """The settings and members received over the link to control."""
 
     def __init__(self, *, client: client_mod.ControlClient) -> None:
         self._client = client
 
     def revision(self) -> types.Revision:
-        """The revision that is in force here."""
+        """Return the settings revision in force at this entry."""
         return self._client.in_force.revision
 
     def catch_up_to(self, revision: types.Revision) -> None:
-        """Fetch what a peer has and this process lacks."""
+        """Fetch `revision`, which a peer runs on, if it is newer."""
         self._client.behind(revision)
 
     def member_count(
         self, service: types.ServiceName, role: types.Role
     ) -> int | None:
-        """How many endpoints of a service and role have joined."""
-        found = self._client.in_force.members.values()
+        """Return how many endpoints of a service and role have joined."""
+        members = self._client.in_force.members.values()
         return sum(
             1
-            for member in found
+            for member in members
             if member.service == service and member.role is role
         )
 
@@ -68,8 +68,8 @@
             name=opts.name,
             incarnation=self._incarnation,
             addresses=opts.control_addresses(),
-            connect=lambda where: websocket.connected(
-                where,
+            connect=lambda address: websocket.connected(
+                address,
                 security=self._security,
                 kinds=control_messages.FromControl,
             ),
@@ -190,7 +190,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[int]:
-        """Serve callers; yields the port.  Leaving drops all links."""
+        """Serve callers and yield the port; on exit, close all links."""
         app = http.CallerApp(
             entry=self.entry,
             tree=lambda: self.client.in_force.tree,
@@ -207,15 +207,15 @@
         try:
             async with http_server.serving(
                 app.app, host=host, port=port, tls=tls
-            ) as found:
-                logs.say(logs.Part.ENTRY, "Serving callers.", port=found)
-                yield found
+            ) as bound_port:
+                logs.say(logs.Part.ENTRY, "Serving callers.", port=bound_port)
+                yield bound_port
         finally:
             for task in [*tasks, *self._links.values()]:
                 task.cancel()
 
     async def stop(self) -> None:
-        """Planned stop: nothing new, what is in flight ends first."""
+        """Refuse new requests, and wait until those in flight have ended."""
         logs.say(logs.Part.ENTRY, "Stopping.", open=self.entry.open_requests)
         self.entry.stop()
         await self.entry.drained()
--- a/rackpost/entry/request.py
+++ b/rackpost/entry/request.py
@@ -1,4 +1,4 @@
-"""A request as the entry serves it, and what comes out for it."""
+"""A caller's request, and the events of its answer."""
 
 from typing import Union
 
@@ -9,7 +9,7 @@
 
 
 class PlainCall(msgspec.Struct, frozen=True, kw_only=True):
-    """What is passed on to a plain service."""
+    """The parts of a call that a plain service receives, but its body."""
 
     method: str
     path: str
@@ -18,9 +18,12 @@
 
 
 class Request(msgspec.Struct, frozen=True, kw_only=True):
-    """One request of one caller.
+    """A request, validated, with the terms of its kind.
 
-    `plain` is None for a model's request.  `body` is passed on as it is.
+    Attributes:
+        body: what the endpoint receives.
+        claim: claim key of a request that may not be freely repeated.
+        plain: the call, for a plain service; None for a model.
     """
 
     req: types.RequestId
@@ -38,20 +41,20 @@
 
 
 class TextChunk(msgspec.Struct, frozen=True, kw_only=True):
-    """The next piece of a model's answer."""
+    """The text of the next token of a model's answer."""
 
     text: str
 
 
 class PlainHead(msgspec.Struct, frozen=True, kw_only=True):
-    """The head of a plain service's answer."""
+    """The status and headers of a plain service's answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
 
 
 class PlainChunk(msgspec.Struct, frozen=True, kw_only=True):
-    """The next part of a plain service's body."""
+    """The next chunk of a plain service's answer body."""
 
     data: bytes
 
@@ -59,7 +62,7 @@
 class End(msgspec.Struct, frozen=True, kw_only=True):
     """The last event of every request.
 
-    `retry_in_s` tells the caller when it makes sense to come back.
+    `retry_in_s` is sent to the caller as Retry-After.
     """
 
     outcome: types.Outcome
--- a/rackpost/entry/trace.py
+++ b/rackpost/entry/trace.py
@@ -1,4 +1,4 @@
-"""What became of each of the latest requests, step by step."""
+"""Traces of the latest requests, for `rackpost explain`."""
 
 import asyncio
 from collections import OrderedDict
@@ -7,13 +7,13 @@
 
 from rackpost import types
 
-# The latest requests whose steps are kept, and steps of one request.
+# Bound the memory for traces.
 _MAX_TRACES = 2048
 _MAX_STEPS = 64
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True):
-    """One step: seconds since the request came, what, at which agent."""
+    """One step; `at_s` is seconds since the request arrived."""
 
     at_s: float
     what: str
@@ -47,7 +47,7 @@
         service: types.ServiceName,
         kind: types.KindName,
     ) -> None:
-        """A request came in."""
+        """Start a trace; drop the oldest if there are too many."""
         self._traces[req] = Trace(
             req=req,
             caller=caller,
@@ -67,15 +67,15 @@
         agent: str = "",
         detail: str = "",
     ) -> None:
-        """Add a step; of a request that is forgotten, nothing."""
+        """Add a step, unless the trace was dropped or is full."""
         trace = self._traces.get(req)
         if trace is None or len(trace.steps) >= _MAX_STEPS:
             return
-        at = round(self._loop.time() - trace.began, 6)
+        at_s = round(self._loop.time() - trace.began, 6)
         trace.steps.append(
-            Step(at_s=at, what=what, agent=agent, detail=detail)
+            Step(at_s=at_s, what=what, agent=agent, detail=detail)
         )
 
     def get(self, req: types.RequestId) -> Trace | None:
-        """The trace of a request, if it is still kept."""
+        """Return the trace of a request, if it was not dropped."""
         return self._traces.get(req)
