--- a/rackpost/entry/attempt.py
+++ b/rackpost/entry/attempt.py
@@ -382,14 +382,14 @@
     async def _stream(
         self, role: types.Role
     ) -> AsyncGenerator[request.Event, None]:
-        at = self._offset
+        offset = self._offset
         first = True
         sent_at = self._loop.time()
         while True:
             msg = await self._next_message(_AGENT_TIMEOUT_S)
             if isinstance(msg, messages.Done):
                 self._active_peers.pop(self._agents[role], None)
-                self.result = self._check_length(msg, at)
+                self.result = self._check_length(msg, offset)
                 return
             failure = self._failure_of(msg)
             if failure is not None:
@@ -399,15 +399,15 @@
                 first = False
                 self._record_step("first part", self._agents[role])
                 self._record_first_event(role, sent_at)
-            for event, size in self._events_of(msg, at):
+            for event, size in self._events_of(msg, offset):
                 yield event
-                at += size
+                offset += size
             if isinstance(msg, messages.Body):
-                self._send_credit(role, at)
+                self._send_credit(role, offset)
 
-    def _check_length(self, msg: messages.Done, at: int) -> outcome.Result:
-        if msg.tokens == at:
-            return outcome.CompletedAttempt(at)
+    def _check_length(self, msg: messages.Done, offset: int) -> outcome.Result:
+        if msg.tokens == offset:
+            return outcome.CompletedAttempt(offset)
         self._metrics.count("dropped", types.Drop.GAP)
         agent = self._agents[self._answering_role]
         return outcome.FailedAttempt(types.Failure.TRANSFER, True, agent)
@@ -424,10 +424,10 @@
         self._record_success(agent, elapsed_s, expected_s + 0.01)
 
     def _events_of(
-        self, msg: msgspec.Struct, at: int
+        self, msg: msgspec.Struct, offset: int
     ) -> Iterator[tuple[request.Event, int]]:
         if isinstance(msg, messages.Tokens):
-            if msg.offset != at:
+            if msg.offset != offset:
                 self._metrics.count("dropped", types.Drop.DOUBLE)
                 return
             for text in msg.pieces:
@@ -435,7 +435,7 @@
         elif isinstance(msg, messages.Head):
             yield request.PlainHead(status=msg.status, headers=msg.headers), 0
         elif isinstance(msg, messages.Body):
-            if msg.offset != at:
+            if msg.offset != offset:
                 self._metrics.count("dropped", types.Drop.DOUBLE)
                 return
             yield request.PlainChunk(data=msg.data), len(msg.data)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The callers' and operators' interfaces over real sockets."""
+"""The HTTP APIs for callers and operators, over real sockets."""
 
 import asyncio
 import contextlib
@@ -22,11 +22,11 @@
 MODEL = "tolk"
 PLAIN = "register"
 BEARER = {"Authorization": f"Bearer {demo_site.CALLER_KEY}"}
-ASKED: Any = [{"role": "user", "content": "Storgata 1, handwritten"}]
+CHAT: Any = [{"role": "user", "content": "Storgata 1, handwritten"}]
 
 
 @contextlib.asynccontextmanager
-async def small() -> AsyncIterator[demo_site.DemoSite]:
+async def small_site() -> AsyncIterator[demo_site.DemoSite]:
     spec = engine.EngineSpec()
     with tempfile.TemporaryDirectory() as folder:
         async with demo_site.running(pathlib.Path(folder)) as site:
@@ -46,13 +46,13 @@
                 "ttft_s": 60.0,
             }
             await site.write("", values)
-            hashed = hashlib.sha256(demo_site.CALLER_KEY.encode())
-            await site.write("nord", {"caller_key": hashed.hexdigest()})
-            await until_up(site)
+            key_hash = hashlib.sha256(demo_site.CALLER_KEY.encode())
+            await site.write("nord", {"caller_key": key_hash.hexdigest()})
+            await wait_until_ready(site)
             yield site
 
 
-async def until_up(site: demo_site.DemoSite) -> None:
+async def wait_until_ready(site: demo_site.DemoSite) -> None:
     entry = site.entries[0]
     while True:
         linked = len(list(entry.entry.pool.peers()))
@@ -61,7 +61,7 @@
         await asyncio.sleep(0.01)
 
 
-def expected(messages: Any, limit: int) -> str:
+def expected_text(messages: Any, limit: int) -> str:
     import json
 
     body = json.dumps({"messages": messages, "max_tokens": limit})
@@ -70,7 +70,7 @@
 
 def test_an_ordinary_client_library_streams_and_does_not_stream() -> None:
     async def main() -> None:
-        async with small() as site:
+        async with small_site() as site:
             client = openai.AsyncOpenAI(
                 api_key=demo_site.CALLER_KEY,
                 base_url=site.entry_urls[0] + "/v1",
@@ -79,14 +79,14 @@
             models = [item.id async for item in client.models.list()]
             assert models == [MODEL]
             whole = await client.chat.completions.create(
-                model=MODEL, messages=ASKED, max_tokens=12
+                model=MODEL, messages=CHAT, max_tokens=12
             )
-            want = expected(ASKED, 12)
-            assert whole.choices[0].message.content == want
+            expected_answer = expected_text(CHAT, 12)
+            assert whole.choices[0].message.content == expected_answer
             assert whole.usage is not None
             stream = await client.chat.completions.create(
                 model=MODEL,
-                messages=ASKED,
+                messages=CHAT,
                 max_tokens=12,
                 stream=True,
                 stream_options={"include_usage": True},
@@ -97,15 +97,15 @@
                 usage = chunk.usage or usage
                 for choice in chunk.choices:
                     texts.append(choice.delta.content or "")
-            assert "".join(texts) == want
+            assert "".join(texts) == expected_answer
             assert usage is not None
             assert usage.completion_tokens == whole.usage.completion_tokens
-            # Bug: the setting was not read, and 256 was taken.
-            unlimited = await client.chat.completions.create(
-                model=MODEL, messages=ASKED
+            # The service's max_tokens applies, not the built-in 256.
+            default_length = await client.chat.completions.create(
+                model=MODEL, messages=CHAT
             )
-            found = unlimited.choices[0].message.content
-            assert found == expected(ASKED, 7)
+            found = default_length.choices[0].message.content
+            assert found == expected_text(CHAT, 7)
             text = await client.completions.create(
                 model=MODEL, prompt="x", max_tokens=5
             )
@@ -117,26 +117,26 @@
 
 def test_plain_calls_pass_through_and_refusals_are_problems() -> None:
     async def main() -> None:
-        async with small() as site:
+        async with small_site() as site:
             url = site.entry_urls[0]
             async with aiohttp.ClientSession() as session:
-                await plain_call(session, url)
-                await refusals(session, url)
-                await a_deed_is_filed_once(session, url, site)
+                await check_plain_call(session, url)
+                await check_refusals(session, url)
+                await check_resend_runs_once(session, url, site)
 
     asyncio.run(main())
 
 
-async def plain_call(session: aiohttp.ClientSession, url: str) -> None:
+async def check_plain_call(session: aiohttp.ClientSession, url: str) -> None:
     target = f"{url}/services/{PLAIN}/a/b?q=1"
     async with session.put(target, data=b"body", headers=BEARER) as resp:
         assert resp.status == 200
-        want = plain.answer_to("PUT", "/a/b", "q=1", b"body")
-        assert await resp.read() == want
+        expected_answer = plain.answer_to("PUT", "/a/b", "q=1", b"body")
+        assert await resp.read() == expected_answer
 
 
-async def refusals(session: aiohttp.ClientSession, url: str) -> None:
-    good = {"model": MODEL, "messages": ASKED}
+async def check_refusals(session: aiohttp.ClientSession, url: str) -> None:
+    good = {"model": MODEL, "messages": CHAT}
     cases: list[tuple[dict, Any, int, str]] = [
         ({}, good, 401, "no-key"),
         ({"Authorization": "Bearer x"}, good, 401, "bad-key"),
@@ -163,7 +163,7 @@
             assert found["request_id"] == resp.headers["x-request-id"]
 
 
-async def a_deed_is_filed_once(
+async def check_resend_runs_once(
     session: aiohttp.ClientSession, url: str, site: demo_site.DemoSite
 ) -> None:
     headers = {
@@ -171,8 +171,8 @@
         "X-Rackpost-Kind": "deed",
         "Idempotency-Key": "plot 7",
     }
-    body = {"model": MODEL, "messages": ASKED, "max_tokens": 8}
-    before = sum(site.ledger.runs.values())
+    body = {"model": MODEL, "messages": CHAT, "max_tokens": 8}
+    runs_before = sum(site.ledger.runs.values())
     statuses = []
     for _ in range(2):
         async with session.post(
@@ -180,16 +180,16 @@
         ) as resp:
             statuses.append((resp.status, (await resp.json()).get("reason")))
     assert statuses == [(200, None), (200, None)]
-    assert sum(site.ledger.runs.values()) == before + 1
+    assert sum(site.ledger.runs.values()) == runs_before + 1
 
 
 def test_a_caller_that_leaves_holds_nothing() -> None:
     async def main() -> None:
-        async with small() as site:
+        async with small_site() as site:
             url = site.entry_urls[0] + "/v1/chat/completions"
             body = {
                 "model": MODEL,
-                "messages": ASKED,
+                "messages": CHAT,
                 "max_tokens": 2000,
                 "stream": True,
             }
@@ -208,13 +208,13 @@
 
 def test_a_peer_without_the_sites_key_is_refused_and_counted() -> None:
     async def main() -> None:
-        async with small() as site:
+        async with small_site() as site:
             entry = site.entries[0]
             address = entry.client.in_force.members["t1"].address
-            wrong = websocket.Security(key=b"not the site's key")
+            wrong_key = websocket.Security(key=b"not the site's key")
             try:
                 async with websocket.connected(
-                    address, security=wrong, kinds=control.FromControl
+                    address, security=wrong_key, kinds=control.FromControl
                 ):
                     raise AssertionError("the link came up")
             except exceptions.LinkError:
@@ -229,15 +229,15 @@
 
 def test_operators_race_and_resend_over_http() -> None:
     async def main() -> None:
-        async with small() as site:
+        async with small_site() as site:
             first = await site.write("sor", {"weight": 2.0}, op="a")
             second = await site.write("sor", {"weight": 3.0}, op="b")
             again = await site.write("sor", {"weight": 2.0}, op="a")
             assert first["type"] == "accepted"
             assert second["type"] == "conflict"
             assert again == first
-            bad = await site.write("sor", {"weigth": 2.0})
-            assert "no setting 'weigth'" in bad["detail"]
+            rejected = await site.write("sor", {"weigth": 2.0})
+            assert "no setting 'weigth'" in rejected["detail"]
             status = await site.operate("/v1/status", None)
             assert status["leader"] == "c0"
 
