--- a/rackpost/entry/ends.py
+++ b/rackpost/entry/attempt_result.py
@@ -1,4 +1,4 @@
-"""How an entry ends a request: whether to try again, and what to tell."""
+"""Turns the result of an attempt into a retry or the request's end."""
 
 import asyncio
 import random
@@ -6,28 +6,28 @@
 from rackpost.decide import retry
 from rackpost.decide import retry_after
 from rackpost.entry import attempt as attempt_mod
-from rackpost.entry import offers as offers_mod
+from rackpost.entry import crash_tracker
+from rackpost.entry import demand_tracker
 from rackpost.entry import open_request
 from rackpost.entry import outcome
 from rackpost.entry import pool as pool_mod
 from rackpost.entry import request
-from rackpost.entry import suspects
 from rackpost import metrics as metrics_mod
 from rackpost import types
 
-__all__ = ["Ends"]
+__all__ = ["AttemptResultHandler"]
 
-# When a refused caller may come back, where nothing better is known.
-_COME_BACK_S = 1.0
-# The key's own request may have run, or runs, under another attempt.
-_OTHERS_CLAIM = frozenset(
+# Told to callers whose request failed and was not retried.
+_DEFAULT_RETRY_AFTER_S = 1.0
+# Refusals of a request whose key another attempt holds.
+_CLAIM_REFUSALS = frozenset(
     {
         types.Refusal.CLAIM_UNKNOWN,
         types.Refusal.CLAIM_RUNNING,
         types.Refusal.CLAIM_ANSWERED,
     }
 )
-_AGENTS_FAULT = frozenset(
+_AGENT_FAILURES = frozenset(
     {
         types.Failure.AGENT,
         types.Failure.ENGINE,
@@ -38,67 +38,70 @@
 )
 
 
-class Ends:
-    """Decides after each attempt, within the services' retry budgets."""
+class AttemptResultHandler:
+    """Decides on each result, within the retry budgets of the services."""
 
     def __init__(
         self,
         *,
         pool: pool_mod.Pool,
-        offers: offers_mod.Offers,
+        demand: demand_tracker.DemandTracker,
         metrics: metrics_mod.Metrics,
         rng: random.Random,
     ) -> None:
         self._pool = pool
-        self._offers = offers
+        self._demand = demand
         self._metrics = metrics
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._suspects = suspects.Suspects()
+        self._crash_tracker = crash_tracker.CrashTracker()
         self._budgets: dict[types.ServiceName, retry.RetryBudget] = {}
 
-    def admitted(self, req: request.Request) -> None:
-        """A request is served, a share of which may be spent on retries."""
+    def record_request(self, req: request.Request) -> None:
+        """Add a request's share to the retry budget of its service."""
         self._budget(req.service).record_request(req.terms.retry_share)
 
-    def is_held(self, req: request.Request) -> bool:
-        """Whether a request is held back, as engines ended under it."""
-        return self._suspects.left_s(req, self._loop.time()) > 0.0
+    def is_quarantined(self, req: request.Request) -> bool:
+        """Whether a request is quarantined, as engines crashed under it."""
+        return self._crash_tracker.remaining_s(req, self._loop.time()) > 0.0
 
     def _budget(self, service: types.ServiceName) -> retry.RetryBudget:
         return self._budgets.setdefault(service, retry.RetryBudget())
 
-    async def after(
-        self, item: open_request.OpenRequest, att: attempt_mod.Attempt
+    async def handle_result(
+        self, item: open_request.OpenRequest, attempt: attempt_mod.Attempt
     ) -> request.End | None:
-        """What the caller is told after an attempt; None to try again."""
-        result = att.result
-        if isinstance(result, outcome.Whole):
-            self._suspects.answered(item.req, self._loop.time())
+        """Return the end of the request; None if it is to be retried.
+
+        Before a retry the back-off is waited for.
+        """
+        result = attempt.result
+        if isinstance(result, outcome.CompletedAttempt):
+            self._crash_tracker.record_answer(item.req, self._loop.time())
             self._metrics.count(
                 "requests", types.Outcome.ANSWERED, item.req.kind
             )
             return request.End(
                 outcome=types.Outcome.ANSWERED, tokens=result.length
             )
-        if isinstance(result, outcome.Refused):
-            return self.refuse_reserved(item, result.reason)
-        return await self._after_break(item, att, result)
+        if isinstance(result, outcome.RefusedAttempt):
+            return self.refuse_attempt(item, result.reason)
+        return await self._handle_failure(item, attempt, result)
 
-    async def _after_break(
+    async def _handle_failure(
         self,
         item: open_request.OpenRequest,
-        att: attempt_mod.Attempt,
-        broken: outcome.Broken,
+        attempt: attempt_mod.Attempt,
+        failure: outcome.FailedAttempt,
     ) -> request.End | None:
-        if broken.agent is not None and broken.reason in _AGENTS_FAULT:
-            self._pool.health.of(broken.agent).record_failure(
+        if failure.agent is not None and failure.reason in _AGENT_FAILURES:
+            self._pool.circuit_breakers.of(failure.agent).record_failure(
                 self._loop.time()
             )
-            att.excluded.add(broken.agent)
+            attempt.excluded.add(failure.agent)
         now = self._loop.time()
-        self._suspects.broke(item.req, broken, now)
-        if self._suspects.left_s(item.req, now) > 0.0:
+        self._crash_tracker.record_failure(item.req, failure, now)
+        if self._crash_tracker.remaining_s(item.req, now) > 0.0:
             return self.refuse(
                 item.req, types.Refusal.ENDS_ENGINES, types.Outcome.UNKNOWN
             )
@@ -108,13 +111,15 @@
         elif item.handed_over:
             stage = retry.Stage.HANDED_OVER
         verdict = retry.after_failure(
-            reason=broken.reason,
-            ran=broken.ran,
+            reason=failure.reason,
+            ran=failure.ran,
             stage=stage,
-            attempts=item.number,
+            attempts=item.attempt_number,
             repeat=item.req.terms.repeat,
-            left_s=item.left_s(now),
-            needed_s=self._needed_s(item, kept=broken.kept is not None),
+            left_s=item.remaining_s(now),
+            needed_s=self._needed_s(
+                item, prefilled=failure.retained_kv is not None
+            ),
             budget=self._budget(item.req.service),
             rng=self._rng,
         )
@@ -124,33 +129,33 @@
             return request.End(
                 outcome=verdict.outcome,
                 reason=verdict.reason,
-                retry_in_s=_COME_BACK_S,
+                retry_in_s=_DEFAULT_RETRY_AFTER_S,
                 tokens=item.delivered,
             )
-        self._metrics.count("retried", broken.reason, item.req.kind)
+        self._metrics.count("retried", failure.reason, item.req.kind)
         await asyncio.sleep(verdict.pause_s)
         return None
 
     def _needed_s(
-        self, item: open_request.OpenRequest, *, kept: bool
+        self, item: open_request.OpenRequest, *, prefilled: bool
     ) -> float:
-        views_ = self._pool.views_of(item.req.service)
-        if item.req.plain is not None or not views_:
+        views = self._pool.views_of(item.req.service)
+        if item.req.plain is not None or not views:
             return 0.0
-        if kept:
+        if prefilled:
             return 0.0
         return min(
             view.prefill_s(item.req.prompt_tokens, item.req.blocks)
-            for view in views_
+            for view in views
         )
 
-    def refuse_reserved(
+    def refuse_attempt(
         self, item: open_request.OpenRequest, reason: types.Refusal
     ) -> request.End:
-        """Tell that no endpoint took it, now or at an earlier attempt."""
+        """Refuse a request whose latest attempt was refused."""
         outcome = types.Outcome.NOT_RUN
-        if item.handed_over or reason in _OTHERS_CLAIM:
-            # An earlier attempt may have run, whatever became of this.
+        if item.handed_over or reason in _CLAIM_REFUSALS:
+            # Another attempt may have run.
             outcome = types.Outcome.UNKNOWN
         return self.refuse(item.req, reason, outcome)
 
@@ -160,19 +165,21 @@
         reason: types.Refusal,
         outcome: types.Outcome = types.Outcome.NOT_RUN,
     ) -> request.End:
-        """Tell that it is refused, and when to come back."""
+        """Return the end of a refused request, with its retry delay."""
         self._metrics.count("refused", reason, req.kind)
         self._metrics.count("requests", outcome, req.kind)
         return request.End(
             outcome=outcome,
             reason=reason,
-            retry_in_s=self._come_back(req, reason),
+            retry_in_s=self._retry_after_s(req, reason),
         )
 
-    def _come_back(self, req: request.Request, reason: types.Refusal) -> float:
+    def _retry_after_s(
+        self, req: request.Request, reason: types.Refusal
+    ) -> float:
         now = self._loop.time()
         if reason is types.Refusal.ENDS_ENGINES:
-            return self._suspects.left_s(req, now)
+            return self._crash_tracker.remaining_s(req, now)
         backlogs = [
             view.backlog_s(now)
             for view in self._pool.views_of(req.service)
@@ -181,5 +188,7 @@
         return retry_after.delay_s(
             reason,
             backlog_s=min(backlogs, default=0.0),
-            higher_density_load=self._offers.last_denser(req.service),
+            higher_density_load=self._demand.last_higher_density_load(
+                req.service
+            ),
         )
--- a/rackpost/entry/control_claims.py
+++ b/rackpost/entry/control_claims.py
@@ -1,4 +1,4 @@
-"""Claims over the link to control, many in one command."""
+"""Claims over the link to control, batched into commands."""
 
 import asyncio
 import contextlib
@@ -11,12 +11,12 @@
 from rackpost import types
 
 _MAX_BATCH = 256
-_SETTLE_TRIES = 5
-_SETTLE_PAUSE_S = 0.2
+_SETTLE_ATTEMPTS = 5
+_RETRY_INTERVAL_S = 0.2
 
 
-class _Waiting:
-    """A claim that waits for the next batch."""
+class _PendingClaim:
+    """A claim that is not yet answered."""
 
     def __init__(self, *, item: commands.ClaimOne) -> None:
         loop = asyncio.get_running_loop()
@@ -25,9 +25,9 @@
 
 
 class ControlClaims(claims.Claims):
-    """Collects claims while a batch is under way, then sends the next.
+    """Collects claims while a batch is in flight, then sends the next.
 
-    `now` gives seconds since the epoch.
+    `now` returns seconds since the epoch.
     """
 
     def __init__(
@@ -38,14 +38,14 @@
     ) -> None:
         self._client = client
         self._now = now
-        self._claims: list[_Waiting] = []
-        self._settled: list[commands.SettleOne] = []
-        self._more = asyncio.Event()
+        self._pending_claims: list[_PendingClaim] = []
+        self._pending_settlements: list[commands.SettleOne] = []
+        self._has_pending = asyncio.Event()
 
     async def claim(
         self, *, key: types.ClaimKey, holder: claims.Holder
     ) -> claims.ClaimReply:
-        """Claim a key in the next batch."""
+        """Claim a key with the next batch."""
         item = commands.ClaimOne(
             key=key,
             agent=holder.agent,
@@ -53,10 +53,10 @@
             req=holder.req,
             attempt=holder.attempt,
         )
-        waiting = _Waiting(item=item)
-        self._claims.append(waiting)
-        self._more.set()
-        return await waiting.fut
+        pending = _PendingClaim(item=item)
+        self._pending_claims.append(pending)
+        self._has_pending.set()
+        return await pending.fut
 
     async def settle(
         self,
@@ -65,68 +65,71 @@
         holder: claims.Holder,
         state: claims.ClaimState | None,
     ) -> None:
-        """Say in the next batch how an attempt ended."""
-        word = "sealed" if state is None else state.value
-        self._settled.append(
+        """Report with the next batch how an attempt ended."""
+        state_name = "sealed" if state is None else state.value
+        self._pending_settlements.append(
             commands.SettleOne(
-                key=key, req=holder.req, attempt=holder.attempt, state=word
+                key=key,
+                req=holder.req,
+                attempt=holder.attempt,
+                state=state_name,
             )
         )
-        self._more.set()
+        self._has_pending.set()
 
     async def run(self) -> None:
         """Send batches until cancelled."""
         while True:
-            await self._more.wait()
-            self._more.clear()
-            while self._claims or self._settled:
+            await self._has_pending.wait()
+            self._has_pending.clear()
+            while self._pending_claims or self._pending_settlements:
                 await self._send_batch()
 
     async def _send_batch(self) -> None:
-        batch = self._claims[:_MAX_BATCH]
-        settled = self._settled[:_MAX_BATCH]
-        del self._claims[:_MAX_BATCH]
-        del self._settled[:_MAX_BATCH]
+        batch = self._pending_claims[:_MAX_BATCH]
+        settled = self._pending_settlements[:_MAX_BATCH]
+        del self._pending_claims[:_MAX_BATCH]
+        del self._pending_settlements[:_MAX_BATCH]
         now = self._now()
-        keep = self._client.in_force.tree.value(
+        keep_s = self._client.in_force.tree.value(
             "", "", "", "claim_keep_s", now
         )
         cmd = commands.ClaimBatch(
             at=now,
-            keep_s=float(keep),
+            keep_s=float(keep_s),
             claims=tuple(item.item for item in batch),
             settled=tuple(settled),
         )
         try:
-            result = await self._ask(cmd, patient=not batch)
+            result = await self._submit(cmd, retry=not batch)
         except exceptions.ControlError as exc:
             for item in batch:
                 if not item.fut.done():
                     item.fut.set_exception(exc)
-            # How an attempt ended must not be lost: it goes again.
-            self._settled = settled + self._settled
-            await asyncio.sleep(_SETTLE_PAUSE_S)
+            # Settlements must not be lost: the next batch has them.
+            self._pending_settlements = settled + self._pending_settlements
+            await asyncio.sleep(_RETRY_INTERVAL_S)
             return
         assert isinstance(result, commands.ClaimResults)
-        for item, state, held in zip(batch, result.states, result.holders):
+        for item, state, found in zip(batch, result.states, result.holders):
             if not item.fut.done():
-                item.fut.set_result(_reply(state, held))
+                item.fut.set_result(_reply(state, found))
 
-    async def _ask(
-        self, cmd: commands.ClaimBatch, *, patient: bool
+    async def _submit(
+        self, cmd: commands.ClaimBatch, *, retry: bool
     ) -> commands.Result:
-        for _ in range(_SETTLE_TRIES if patient else 1):
+        for _ in range(_SETTLE_ATTEMPTS if retry else 1):
             with contextlib.suppress(exceptions.ControlError):
                 return await self._client.ask(cmd)
-            await asyncio.sleep(_SETTLE_PAUSE_S)
-        # The same batch again gives the same holder the same grant.
+            await asyncio.sleep(_RETRY_INTERVAL_S)
+        # A batch may be sent twice: the same holder gets the same grant.
         return await self._client.ask(cmd)
 
 
-def _reply(state: str, held: commands.ClaimOne | None) -> claims.ClaimReply:
+def _reply(state: str, found: commands.ClaimOne | None) -> claims.ClaimReply:
     holder = None
-    if held is not None:
+    if found is not None:
         holder = claims.Holder(
-            held.agent, held.incarnation, held.req, held.attempt
+            found.agent, found.incarnation, found.req, found.attempt
         )
     return claims.ClaimReply(claims.ClaimState(state), holder)
--- a/rackpost/entry/offers.py
+++ b/rackpost/entry/demand_tracker.py
@@ -1,4 +1,4 @@
-"""The demand that an entry is offered, and what counts more of it."""
+"""The demand offered to an entry, by density (weight per cost)."""
 
 import asyncio
 from typing import Callable
@@ -12,35 +12,35 @@
 from rackpost.entry import request
 from rackpost import types
 
-Events = Callable[
+DeclaredEvents = Callable[
     [types.ServiceName], Sequence[declared_events_mod.DeclaredEvent]
 ]
-# How many endpoints of a service and role the site has; None if unknown.
-Members = Callable[[types.ServiceName, types.Role], int | None]
+# Returns how many endpoints of a service and role the site has, or None.
+MemberCount = Callable[[types.ServiceName, types.Role], int | None]
 
 
-class _Service:
-    """What is offered to one service."""
+class _ServiceDemand:
+    """The demand for one service."""
 
     def __init__(self) -> None:
         self.demand = demand.DemandEstimator()
         self.fairness = fairness.FairShareTracker()
-        self.last = demand.NO_DEMAND
+        self.last_higher_density = demand.NO_DEMAND
 
 
-class Offers:
-    """Counts each request once, and says what is denser than it.
+class DemandTracker:
+    """Records each request, and estimates the demand of higher density.
 
-    `entries` tells how many entries the site has, `wall` seconds since
-    the epoch, which declared events are given in.
+    `entries` returns how many entries the site has, and `wall` seconds
+    since the epoch, which the times of declared events use.
     """
 
     def __init__(
         self,
         *,
         entries: Callable[[], int],
-        events: Events,
-        members: Members,
+        events: DeclaredEvents,
+        members: MemberCount,
         wall: Callable[[], float],
     ) -> None:
         self._entries = entries
@@ -48,45 +48,53 @@
         self._members = members
         self._wall = wall
         self._loop = asyncio.get_running_loop()
-        self._services: dict[types.ServiceName, _Service] = {}
+        self._services: dict[types.ServiceName, _ServiceDemand] = {}
 
-    def denser(
+    def record_request(
         self,
         req: request.Request,
         linked: Sequence[endpoint_view.EndpointView],
     ) -> demand.HigherDensityDemand:
-        """What denser requests will take, of all entries, per endpoint.
+        """Record a request, and return the demand of higher density.
 
-        The platform's balancer spreads callers evenly, so the other
-        entries are taken to be offered as much as this one.
+        The result is for the whole site, per endpoint.  Other entries are
+        assumed to receive as much as this one, as callers are balanced
+        evenly over them.
         """
         if req.plain is not None:
             return demand.NO_DEMAND
-        service = self._services.setdefault(req.service, _Service())
+        service = self._services.setdefault(req.service, _ServiceDemand())
         pool = capacity.of_pool(linked)
         offer = self._offer(req, service, pool)
         service.demand.record_offer(req.kind, offer)
         entries = self._entries()
-        self._declare(req.service, service.demand, offer.at, entries)
-        prefills = self._members(req.service, types.Role.PREFILL)
-        decodes = self._members(req.service, types.Role.DECODE)
-        service.last = service.demand.higher_density_than(offer).scaled(
-            entries / max(1, decodes or pool.decode_endpoints),
-            entries / max(1, prefills or pool.prefill_endpoints),
+        self._update_declared_rates(
+            req.service, service.demand, offer.at, entries
         )
-        return service.last
+        prefill_endpoints = self._members(req.service, types.Role.PREFILL)
+        decode_endpoints = self._members(req.service, types.Role.DECODE)
+        service.last_higher_density = service.demand.higher_density_than(
+            offer
+        ).scaled(
+            entries / max(1, decode_endpoints or pool.decode_endpoints),
+            entries / max(1, prefill_endpoints or pool.prefill_endpoints),
+        )
+        return service.last_higher_density
 
-    def last_denser(self, service: types.ServiceName) -> float:
-        """The share of prefill time denser than the last request."""
+    def last_higher_density_load(self, service: types.ServiceName) -> float:
+        """Return the prefill load above the density of the last request."""
         found = self._services.get(service)
         if found is None:
             return 0.0
-        return found.last.urgent_load + found.last.other_load
+        return (
+            found.last_higher_density.urgent_load
+            + found.last_higher_density.other_load
+        )
 
     def _offer(
         self,
         req: request.Request,
-        service: _Service,
+        service: _ServiceDemand,
         pool: capacity.PoolCapacity,
     ) -> demand.Offer:
         now = self._loop.time()
@@ -100,22 +108,24 @@
             target_s=req.terms.ttft_s,
         )
 
-    def _declare(
+    def _update_declared_rates(
         self,
         service: types.ServiceName,
-        seen: demand.DemandEstimator,
+        estimator: demand.DemandEstimator,
         at: float,
         entries: int,
     ) -> None:
         declared = self._events(service)
         if not declared:
-            seen.set_declared_rates({})
+            estimator.set_declared_rates({})
             return
-        rates = {kind: rate * entries for kind, rate in seen.rates(at).items()}
+        rates = {
+            kind: rate * entries for kind, rate in estimator.rates(at).items()
+        }
         found = declared_events_mod.expected_rates(
             declared, seen=rates, now=self._wall()
         )
-        # This entry's part of what the whole site expects.
-        seen.set_declared_rates(
+        # This entry's share of the rates of the site.
+        estimator.set_declared_rates(
             {kind: rate / entries for kind, rate in found.items()}
         )
--- a/rackpost/entry/outcome.py
+++ b/rackpost/entry/outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt at a request ended."""
+"""The possible results of an attempt at a request."""
 
 from typing import Any
 from typing import NamedTuple
@@ -6,36 +6,43 @@
 from rackpost import types
 
 
-class Refused(NamedTuple):
-    """The attempt ended before anything was started."""
+class RefusedAttempt(NamedTuple):
+    """The attempt was refused before any endpoint received the request."""
 
     reason: types.Refusal
 
 
-class Kept(NamedTuple):
-    """A KV cache that its prefill endpoint still keeps for export."""
+class RetainedKvCache(NamedTuple):
+    """A KV cache that its prefill endpoint still holds for transfer.
+
+    `since` is when the prefill finished, in loop time.
+    """
 
     kv: dict[str, Any]
     since: float
 
 
-class Broken(NamedTuple):
-    """The attempt broke off after it had been accepted.
+class FailedAttempt(NamedTuple):
+    """The attempt failed after its reservations were granted.
 
-    `agent` is whose part broke; `ran` as in `messages.Failed`.  `kept` is
-    set where the prefill was done and the decode never begun.
+    `agent` is the agent that failed, and `ran` as in `messages.Failed`.
+    `retained_kv` is set if the prefill finished but decode did not start.
     """
 
     reason: types.Failure
     ran: bool
     agent: types.AgentId | None
-    kept: Kept | None = None
+    retained_kv: RetainedKvCache | None = None
 
 
-class Whole(NamedTuple):
-    """The attempt's answer has ended, after so many pieces or bytes."""
+class CompletedAttempt(NamedTuple):
+    """The attempt gave its whole answer.
+
+    `length` counts from the start of the answer: tokens of a model, bytes
+    of a plain service.
+    """
 
     length: int
 
 
-Result = Refused | Broken | Whole
+Result = RefusedAttempt | FailedAttempt | CompletedAttempt
