--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -18,7 +18,7 @@
 from rackpost import types
 
 
-class OpenBook(reservations.EndpointLedger):
+class EngineQueueLedger(reservations.EndpointLedger):
     """Takes any work at once and leaves the queueing to the engine.
 
     Work is refused only when the queue at the engine is longer than
@@ -34,7 +34,7 @@
         self._ready: list[slots.AttemptKey] = []
         self._step_s = spec.step_s
 
-    def _room(self) -> int:
+    def _capacity(self) -> int:
         if self.role is types.Role.PREFILL:
             return self._limit
         return self.spec.slots + self._limit
@@ -47,7 +47,7 @@
             return types.Refusal.LEAVING
         if msg.part is not self.role:
             return types.Refusal.WRONG_ROLE
-        if len(self._cost) >= self._room():
+        if len(self._cost) >= self._capacity():
             return types.Refusal.QUEUE_FULL
         self._cost[key] = 0.0
         if self.role is types.Role.PREFILL:
@@ -109,7 +109,7 @@
         )
 
 
-class _Separate(placement.Policy):
+class _IndependentPolicy(placement.Policy):
     """Chooses the two halves one after the other."""
 
     def place(
@@ -143,7 +143,7 @@
         return min(pool, key=lambda view: view.load.used + view.sent_slots)
 
 
-class RoundRobin(_Separate):
+class RoundRobin(_IndependentPolicy):
     """Each endpoint in its turn."""
 
     def __init__(self) -> None:
@@ -164,7 +164,7 @@
         return pool[self._turn % len(pool)]
 
 
-class LeastLoaded(_Separate):
+class LeastLoaded(_IndependentPolicy):
     """The least work outstanding."""
 
     def _prefill(
@@ -176,7 +176,7 @@
         return min(pool, key=lambda view: view.backlog_s(now))
 
 
-class PrefixCost(_Separate):
+class PrefixCost(_IndependentPolicy):
     """The paper's cost: uncached prefill, transfer and queue (PAPER)."""
 
     def _prefill(
--- a/lab/bench.py
+++ b/lab/bench.py
@@ -48,7 +48,7 @@
     ]
 
 
-def _middle(results: Iterable[cases.Result], name: str) -> float:
+def _median(results: Iterable[cases.Result], name: str) -> float:
     return statistics.median(getattr(item, name) for item in results)
 
 
@@ -72,19 +72,19 @@
     ]
     for key, by_policy in _groups(results).items():
         best = max(
-            _middle(items, "goodput")
+            _median(items, "goodput")
             for policy, items in by_policy.items()
             if policy != cases.PRODUCT
         )
         for policy, items in by_policy.items():
-            good = _middle(items, "goodput")
+            good = _median(items, "goodput")
             lines.append(
                 f"{key[0]:<11}{key[1]:<11}{key[2]:<14}{policy:<15}"
-                f"{good:>8.3f}{good / _middle(items, 'bound'):>7.3f}"
-                f"{_middle(items, 'rush_goodput'):>6.3f}"
-                f"{_middle(items, 'wasted_prefill'):>8.4f}"
-                f"{_middle(items, 'not_run'):>8.0f}"
-                f"{_middle(items, 'broken_promises'):>7.0f}"
+                f"{good:>8.3f}{good / _median(items, 'bound'):>7.3f}"
+                f"{_median(items, 'rush_goodput'):>6.3f}"
+                f"{_median(items, 'wasted_prefill'):>8.4f}"
+                f"{_median(items, 'not_run'):>8.0f}"
+                f"{_median(items, 'broken_promises'):>7.0f}"
                 f"{good / max(best, 1e-9):>7.2f}"
             )
     wrong = sum(item.wrong for item in results)
@@ -107,10 +107,10 @@
     for axis, deployment in zip(axes[:, 0], _DEPLOYMENTS):
         rows = [key for key in groups if key[0] == deployment]
         for idx, policy in enumerate(_POLICIES):
-            heights = [_middle(groups[key][policy], "goodput") for key in rows]
+            heights = [_median(groups[key][policy], "goodput") for key in rows]
             spots = [at + idx * 0.16 for at in range(len(rows))]
             axis.bar(spots, heights, width=0.15, label=policy)
-        bounds = [_middle(groups[key][cases.PRODUCT], "bound") for key in rows]
+        bounds = [_median(groups[key][cases.PRODUCT], "bound") for key in rows]
         axis.plot(
             [at + 0.32 for at in range(len(rows))],
             bounds,
--- a/lab/cases.py
+++ b/lab/cases.py
@@ -26,10 +26,10 @@
 WARM_S = 3.0
 SECONDS = 23.0
 FAULT_AT = 8.0
-RUSH_AT = 8.0
-RUSH_S = 6.0
+BURST_AT = 8.0
+BURST_S = 6.0
 # The rush's rate, as a share of all that the engines can carry.
-RUSH_SHARE = 0.4
+BURST_SHARE = 0.4
 CALLER_DELAY_S = 0.003
 # How much too late an event was declared to start, in seconds, and its
 # declared rate over the true one.
@@ -114,15 +114,15 @@
     deployment = workload.DEPLOYMENTS[case.deployment]
     rate = full_rate(deployment)
     if case.load in _DECLARED or case.load == "undeclared":
-        rush = 0.0 if case.load == "declared-none" else RUSH_SHARE
+        rush = 0.0 if case.load == "declared-none" else BURST_SHARE
         return workload.schedule(
             deployment,
             rate=0.6 * rate,
             seconds=SECONDS,
             seed=case.seed,
-            rush_at=RUSH_AT,
-            rush_s=RUSH_S,
-            rush_rate=rush * rate,
+            burst_at=BURST_AT,
+            burst_s=BURST_S,
+            burst_rate=rush * rate,
         )
     return workload.schedule(
         deployment,
@@ -176,7 +176,7 @@
         self.deployment = workload.DEPLOYMENTS[case.deployment]
         self.offers = offers_of(case)
         self.answers: list[Answer] = []
-        self.left: set[int] = set()
+        self.departed: set[int] = set()
         self.rng = random.Random(f"bench/{case.seed}")
         self.site = self._build()
 
@@ -185,7 +185,7 @@
             delays=site_mod.Delays(between_s=self.deployment.between_s),
             seed=self.case.seed,
             engine_spec=SPEC,
-            make_book=self._book,
+            make_ledger=self._make_ledger,
             claims=claims.LocalClaims(),
             lease_s=_LEASE_S if self.case.policy == PRODUCT else 30.0,
         )
@@ -196,20 +196,24 @@
         plain_name = types.ServiceName(self.deployment.plain)
         for idx, role in enumerate(roles):
             centre = types.DataCentre(where[idx % 3])
-            site.add_endpoint(site_mod.Place(f"m{idx}", model, role, centre))
+            site.add_endpoint(
+                site_mod.EndpointConfig(f"m{idx}", model, role, centre)
+            )
         for idx in range(self.deployment.plains):
             centre = types.DataCentre(where[idx % 3])
             site.add_endpoint(
-                site_mod.Place(f"p{idx}", plain_name, types.Role.PLAIN, centre)
+                site_mod.EndpointConfig(
+                    f"p{idx}", plain_name, types.Role.PLAIN, centre
+                )
             )
         if self.case.load in _DECLARED:
             early, size = _DECLARED[self.case.load]
-            rate = size * RUSH_SHARE * full_rate(self.deployment)
+            rate = size * BURST_SHARE * full_rate(self.deployment)
             site.events.append(
                 declared_events.DeclaredEvent(
-                    RUSH_AT + early,
-                    RUSH_S,
-                    (types.KindName(self.deployment.rush),),
+                    BURST_AT + early,
+                    BURST_S,
+                    (types.KindName(self.deployment.burst_kind),),
                     rate,
                 )
             )
@@ -218,7 +222,7 @@
             site.add_entry(f"e{idx}", centre, self._policy(site, idx))
         return site
 
-    def _book(
+    def _make_ledger(
         self, spec: reservations.EndpointSpec
     ) -> reservations.EndpointLedger:
         if self.case.policy == PRODUCT or spec.role is types.Role.PLAIN:
@@ -226,7 +230,7 @@
         limit = _DECODE_QUEUE
         if spec.role is types.Role.PREFILL:
             limit = _PREFILL_LIMITS[self.case.deployment]
-        return baselines.OpenBook(spec=spec, queue_limit=limit)
+        return baselines.EngineQueueLedger(spec=spec, queue_limit=limit)
 
     def _policy(self, site: site_mod.Site, idx: int) -> placement.Policy:
         name = self.case.policy
@@ -249,7 +253,7 @@
         await asyncio.gather(*tasks)
         await fault
         self.site.close()
-        return self._sum_up()
+        return self._summarise()
 
     # Faults.
 
@@ -273,11 +277,11 @@
         leaves = self.case.fault == "callers-leave" and self.rng.random() < 0.1
         patience = self.rng.uniform(0.05, 1.5) if leaves else None
         await asyncio.sleep(CALLER_DELAY_S)
-        task = asyncio.create_task(self._ask(entry, offer))
+        task = asyncio.create_task(self._serve(entry, offer))
         if patience is not None:
             done, _ = await asyncio.wait([task], timeout=patience)
             if not done:
-                self.left.add(offer.number)
+                self.departed.add(offer.number)
                 task.cancel()
                 await asyncio.wait([task])
             return
@@ -320,7 +324,7 @@
             plain=call,
         )
 
-    async def _ask(
+    async def _serve(
         self, entry: entry_core.Entry, offer: workload.Offer
     ) -> None:
         loop = asyncio.get_running_loop()
@@ -356,11 +360,12 @@
 
     # The sum.
 
-    def _sum_up(self) -> Result:
+    def _summarise(self) -> Result:
         answers = [
             item
             for item in self.answers
-            if item.offer.at >= WARM_S and item.offer.number not in self.left
+            if item.offer.at >= WARM_S
+            and item.offer.number not in self.departed
         ]
         total = max(1, len(answers))
         good = [item for item in answers if _good(item)]
@@ -378,7 +383,7 @@
         rush = [
             item
             for item in answers
-            if item.offer.kind.name == self.deployment.rush
+            if item.offer.kind.name == self.deployment.burst_kind
         ]
         rushed = sum(1 for item in rush if _good(item))
         kinds: dict[str, float] = {}
--- a/lab/compare_sites.py
+++ b/lab/compare_sites.py
@@ -20,9 +20,9 @@
 # Days played at one time; each takes about one core.
 _JOBS = 4
 # A day that takes longer has hung, in seconds.
-_MOST_S = 300.0
+_TIMEOUT_S = 300.0
 # Parts and prices whose means differ by less are left out of the table.
-_LEAST = 0.003
+_MIN_DIFFERENCE = 0.003
 
 
 class Day(NamedTuple):
@@ -33,7 +33,7 @@
     seed: int | None
 
 
-class Played(NamedTuple):
+class DayResult(NamedTuple):
     """What came of a day."""
 
     worth: float
@@ -46,16 +46,16 @@
     """The bench gave no figures for a day."""
 
 
-def read_report(text: str) -> Played:
+def read_report(text: str) -> DayResult:
     """The figures of one day's report."""
     raw = json.loads(text)
     figures = {name: value for name, _weight, value in raw["parts"]}
     figures.update({name: -cost for name, _amount, cost in raw["prices"]})
     broken = tuple(raw.get("rules") or ())
-    return Played(worth=raw["G"], figures=figures, broken=broken)
+    return DayResult(worth=raw["G"], figures=figures, broken=broken)
 
 
-def play(bench: str, copy: pathlib.Path, day: Day, why: str) -> Played:
+def play(bench: str, copy: pathlib.Path, day: Day, why: str) -> DayResult:
     """Play a day on a working copy; BenchError if there is no report."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         line = [bench, "run", day.site, day.name, "--why", why]
@@ -63,7 +63,7 @@
         if day.seed is not None:
             line += ["--seed", str(day.seed)]
         ended = subprocess.run(
-            line, cwd=copy, capture_output=True, text=True, timeout=_MOST_S
+            line, cwd=copy, capture_output=True, text=True, timeout=_TIMEOUT_S
         )
         text = pathlib.Path(report.name).read_text()
     if not text:
@@ -86,7 +86,9 @@
 
 
 def table(
-    days: Sequence[Day], before: Sequence[Played], after: Sequence[Played]
+    days: Sequence[Day],
+    before: Sequence[DayResult],
+    after: Sequence[DayResult],
 ) -> Iterator[str]:
     """The lines of the comparison."""
     yield f"{'':44} {'before':>7} {'after':>7} {'paired':>7} error"
@@ -106,7 +108,7 @@
     for name in before[0].figures:
         old = [item.figures.get(name, 0.0) for item in before]
         new = [item.figures.get(name, 0.0) for item in after]
-        if abs(statistics.mean(new) - statistics.mean(old)) >= _LEAST:
+        if abs(statistics.mean(new) - statistics.mean(old)) >= _MIN_DIFFERENCE:
             yield _line("  " + name, old, new)
     for day, one, two in zip(days, before, after):
         if one.broken or two.broken:
--- a/lab/drill.py
+++ b/lab/drill.py
@@ -25,11 +25,11 @@
 from rackpost.testing import workload
 from rackpost import types
 
-_DEPLOYMENT = workload.FJORDVIK
+_DEPLOYMENT = workload.SHORT_PROMPTS
 _RATE = 12.0
 
 
-class Seen(NamedTuple):
+class SendResult(NamedTuple):
     """One sending of a request, as its caller saw it."""
 
     key: str
@@ -45,7 +45,7 @@
     def __init__(self, *, site: procs.Site, seconds: float) -> None:
         self.site = site
         self.seconds = seconds
-        self.seen: list[Seen] = []
+        self.results: list[SendResult] = []
         self.faults = 0
         self.late_changes = 0
         self.changes = 0
@@ -59,7 +59,7 @@
             timeout=timeout, connector=aiohttp.TCPConnector(limit=0)
         ) as session:
             await asyncio.gather(
-                self._load(session), self._break(), self._change()
+                self._load(session), self._inject_faults(), self._change()
             )
 
     async def _load(self, session: aiohttp.ClientSession) -> None:
@@ -80,7 +80,7 @@
         for _ in range(3):
             url = self.rng.choice(list(self.site.entry_urls.values()))
             seen = await self._send(session, url, offer, key)
-            self.seen.append(seen)
+            self.results.append(seen)
             if seen.outcome in ("answered", "unknown"):
                 return
             await asyncio.sleep(self.rng.uniform(0.2, 0.8))
@@ -91,7 +91,7 @@
         url: str,
         offer: workload.Offer,
         key: str,
-    ) -> Seen:
+    ) -> SendResult:
         kind = offer.kind
         once = kind.repeat is types.RepeatClass.ONCE
         headers = {
@@ -114,17 +114,17 @@
                 data = await resp.read()
                 if resp.status == 200:
                     whole = _whole(offer, data)
-                    return Seen(key, request_id, "answered", whole, once)
+                    return SendResult(key, request_id, "answered", whole, once)
                 found = msgspec.json.decode(data)
                 word = str(found.get("outcome"))
-                return Seen(key, request_id, word, True, once)
+                return SendResult(key, request_id, word, True, once)
         except (aiohttp.ClientError, TimeoutError):
             # The caller can't tell: it resends under the same key.
-            return Seen(key, request_id, "lost", True, once)
+            return SendResult(key, request_id, "lost", True, once)
 
     # Faults.
 
-    async def _break(self) -> None:
+    async def _inject_faults(self) -> None:
         steps = [
             lambda: self._kill("entry-0"),
             lambda: self._kill_leader(),
@@ -152,7 +152,7 @@
         if name.startswith("entry"):
             await self.site.start_entry(name)
         else:
-            await self.site.again(name)
+            await self.site.restart(name)
 
     async def _leader(self) -> str:
         while True:
@@ -253,16 +253,18 @@
 
     async def check(self) -> dict[str, tuple[int, int]]:
         """For each promise, how often it was tried and broken."""
-        runs, held, spent = await self._books()
-        by_key: dict[str, list[Seen]] = collections.defaultdict(list)
-        for item in self.seen:
+        runs, held, spent = await self._read_ledgers()
+        by_key: dict[str, list[SendResult]] = collections.defaultdict(list)
+        for item in self.results:
             by_key[item.key].append(item)
         # A run belongs to a key by the ids that its sendings were given;
         # one whose id was lost with its answer can't be told apart.
-        answered = [item for item in self.seen if item.outcome == "answered"]
+        answered = [
+            item for item in self.results if item.outcome == "answered"
+        ]
         not_run = [
             item
-            for item in self.seen
+            for item in self.results
             if item.outcome == "not-run" and item.request_id
         ]
         ran = [
@@ -295,14 +297,14 @@
             ),
         }
 
-    async def _books(
+    async def _read_ledgers(
         self,
     ) -> tuple[dict[str, int], list[str], dict[str, int]]:
         runs: dict[str, int] = {}
         held: list[str] = []
         spent: dict[str, int] = {}
         async with aiohttp.ClientSession() as session:
-            for url in self.site.books:
+            for url in self.site.ledger_urls:
                 async with session.get(url) as resp:
                     found = await resp.json()
                 runs.update(found["runs"])
@@ -339,10 +341,10 @@
     for promise, (tried, failed) in found.items():
         broken += failed
         print(f"{promise}: tried {tried}, broken {failed}")
-    counts = collections.Counter(item.outcome for item in run.seen)
+    counts = collections.Counter(item.outcome for item in run.results)
     print(f"outcomes: {dict(counts)}")
     print(
-        f"drill: {run.faults} faults, {len(run.seen)} requests, "
+        f"drill: {run.faults} faults, {len(run.results)} requests, "
         f"{broken} broken promises",
         flush=True,
     )
--- a/lab/endpoint.py
+++ b/lab/endpoint.py
@@ -25,7 +25,7 @@
 _HOST = "127.0.0.1"
 
 
-class Book:
+class RunReport:
     """What ran where, for the caller to check."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
 
 async def serve(kind: str, count: int) -> None:
     """Serve until told to stop."""
-    book = Book()
+    book = RunReport()
     found = []
     async with contextlib.AsyncExitStack() as stack:
         for idx in range(count):
--- a/lab/history.py
+++ b/lab/history.py
@@ -29,9 +29,9 @@
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
         self.group = cluster.Cluster(names=_NAMES, seed=seed, compact_at=60)
-        self.writes: list[linear.Wrote] = []
-        self.reads: list[linear.Read] = []
-        self.claims: list[linear.Claimed] = []
+        self.writes: list[linear.WriteRecord] = []
+        self.reads: list[linear.ReadRecord] = []
+        self.claims: list[linear.ClaimRecord] = []
         self._loop = asyncio.get_running_loop()
         self._number = 0
 
@@ -47,7 +47,9 @@
         wrong = linear.check_writes(self.writes, self.reads)
         return wrong + linear.check_claims(self.claims)
 
-    async def _ask(self, cmd: commands.AnyCommand) -> commands.Result | None:
+    async def _commit(
+        self, cmd: commands.AnyCommand
+    ) -> commands.Result | None:
         # As over a link: to any replica, and the answer may be lost.
         if not self.group.up:
             return None
@@ -63,7 +65,7 @@
             else:
                 await self._write(idx, self.rng.choice(_PATHS))
 
-    async def _read(self, path: str) -> linear.Read | None:
+    async def _read(self, path: str) -> linear.ReadRecord | None:
         if not self.group.up:
             return None
         name = self.rng.choice(sorted(self.group.up))
@@ -73,7 +75,7 @@
             return None
         found = node.machine.tree.nodes.get(path)
         value = found.values.get("weight") if found else None
-        read = linear.Read(
+        read = linear.ReadRecord(
             path,
             start,
             self._loop.time(),
@@ -100,7 +102,7 @@
         start = self._loop.time()
         result = None
         for _ in range(4):
-            result = await self._ask(cmd)
+            result = await self._commit(cmd)
             if result is not None:
                 break
         if isinstance(result, commands.Conflict):
@@ -110,7 +112,9 @@
             revision = int(result.revision)
         end = self._loop.time() if revision is not None else None
         self.writes.append(
-            linear.Wrote(path, value, read.revision, start, end, revision)
+            linear.WriteRecord(
+                path, value, read.revision, start, end, revision
+            )
         )
 
     async def _entry(self, idx: int) -> None:
@@ -132,23 +136,23 @@
         start = self._loop.time()
         result = None
         for _ in range(4):
-            result = await self._ask(self._batch(claims=(one,)))
+            result = await self._commit(self._batch(claims=(one,)))
             if result is not None:
                 break
         if not isinstance(result, commands.ClaimResults):
             return
         if result.states[0] != "granted":
             return
-        self._note(key, holder, "granted", start)
+        self._record_claim(key, holder, "granted", start)
         await asyncio.sleep(self.rng.uniform(0.0, 0.2))
         what = "answered" if self.rng.random() < 0.5 else "sealed"
         settled = commands.SettleOne(
             key=one.key, req=one.req, attempt=one.attempt, state=what
         )
         start = self._loop.time()
-        self._note(key, holder, what, start)
+        self._record_claim(key, holder, what, start)
         for _ in range(20):
-            if await self._ask(self._batch(settled=(settled,))) is not None:
+            if await self._commit(self._batch(settled=(settled,))) is not None:
                 return
 
     def _batch(
@@ -160,9 +164,11 @@
             at=self._loop.time(), keep_s=600.0, claims=claims, settled=settled
         )
 
-    def _note(self, key: str, holder: str, what: str, start: float) -> None:
+    def _record_claim(
+        self, key: str, holder: str, what: str, start: float
+    ) -> None:
         now = self._loop.time()
-        self.claims.append(linear.Claimed(key, holder, what, start, now))
+        self.claims.append(linear.ClaimRecord(key, holder, what, start, now))
 
     async def _faults(self) -> None:
         while self._loop.time() < _SECONDS:
@@ -171,9 +177,9 @@
             if self.rng.random() < 0.5:
                 await self._kill(name)
             else:
-                self.group.silence(name)
+                self.group.isolate(name)
                 await asyncio.sleep(self.rng.uniform(0.1, 3.0))
-                self.group.hear(name)
+                self.group.reconnect(name)
 
     async def _kill(self, name: str) -> None:
         self.group.kill(name)
--- a/lab/linear.py
+++ b/lab/linear.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 
-class Wrote(NamedTuple):
+class WriteRecord(NamedTuple):
     """A write: when it was asked and answered, and its revision.
 
     `end` and `revision` are None for one whose result was never learned.
@@ -21,7 +21,7 @@
     revision: int | None
 
 
-class Read(NamedTuple):
+class ReadRecord(NamedTuple):
     """A confirmed read of a node: its revision (0: none) and value."""
 
     path: str
@@ -31,7 +31,7 @@
     value: float | None
 
 
-class Claimed(NamedTuple):
+class ClaimRecord(NamedTuple):
     """A claim that was granted, sealed or answered, in real time."""
 
     key: str
@@ -41,7 +41,9 @@
     end: float
 
 
-def check_writes(writes: list[Wrote], reads: list[Read]) -> list[str]:
+def check_writes(
+    writes: list[WriteRecord], reads: list[ReadRecord]
+) -> list[str]:
     """What is wrong with a history of settings; nothing if it is well."""
     known = [item for item in writes if item.revision is not None]
     faults = []
@@ -55,7 +57,7 @@
     return faults
 
 
-def _check_order(known: list[Wrote]) -> list[str]:
+def _check_order(known: list[WriteRecord]) -> list[str]:
     faults = []
     for one in known:
         for two in known:
@@ -69,7 +71,7 @@
     return faults
 
 
-def _check_chain(known: list[Wrote]) -> list[str]:
+def _check_chain(known: list[WriteRecord]) -> list[str]:
     """Of two writes of a node based on one revision, one may win."""
     seen: dict[tuple[str, int], int] = {}
     faults = []
@@ -81,7 +83,7 @@
     return faults
 
 
-def _check_read(read: Read, writes: list[Wrote]) -> list[str]:
+def _check_read(read: ReadRecord, writes: list[WriteRecord]) -> list[str]:
     mine = [item for item in writes if item.path == read.path]
     before = [
         item.revision or 0
@@ -112,10 +114,10 @@
     return []
 
 
-def check_claims(events: list[Claimed]) -> list[str]:
+def check_claims(events: list[ClaimRecord]) -> list[str]:
     """What is wrong with a history of claims."""
     faults = []
-    by_key: dict[str, list[Claimed]] = {}
+    by_key: dict[str, list[ClaimRecord]] = {}
     for item in events:
         by_key.setdefault(item.key, []).append(item)
     for key, items in by_key.items():
--- a/lab/measure.py
+++ b/lab/measure.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 # The least of so many runs counts: what else the machine does only adds.
-_TRIES = 5
+_RUNS = 5
 
 
 class Line(NamedTuple):
@@ -31,7 +31,7 @@
 def calibration() -> float:
     """Seconds for a fixed loop of this interpreter."""
     times = []
-    for _ in range(_TRIES):
+    for _ in range(_RUNS):
         began = time.process_time()
         total = 0
         for number in range(1_000_000):
@@ -43,7 +43,7 @@
 def cpu_of(work: Callable[[], None]) -> float:
     """The least processor time of a few runs, in seconds."""
     times = []
-    for _ in range(_TRIES):
+    for _ in range(_RUNS):
         gc.collect()
         began = time.process_time()
         work()
--- a/lab/overhead.py
+++ b/lab/overhead.py
@@ -24,10 +24,10 @@
 # Short answers are compared; longer ones keep the streams open.
 _SHORT = 4
 _LONG = 60
-_DEPLOYMENT = workload.FJORDVIK._replace(prefills=2, decodes=4, plains=1)
+_DEPLOYMENT = workload.SHORT_PROMPTS._replace(prefills=2, decodes=4, plains=1)
 
 
-class Took(NamedTuple):
+class Timing(NamedTuple):
     """Seconds to the first token and to the end, and tokens."""
 
     first_s: float
@@ -44,19 +44,19 @@
     }
 
 
-async def _read(resp: aiohttp.ClientResponse, began: float) -> Took:
+async def _read(resp: aiohttp.ClientResponse, began: float) -> Timing:
     first = 0.0
     tokens = 0
     async for line in resp.content:
         if line.startswith(b"data: {"):
             first = first or time.perf_counter() - began
             tokens += 1
-    return Took(first, time.perf_counter() - began, tokens)
+    return Timing(first, time.perf_counter() - began, tokens)
 
 
 async def through(
     session: aiohttp.ClientSession, url: str, n: int, tokens: int = _SHORT
-) -> Took | None:
+) -> Timing | None:
     """One request through the entry; None if it was refused."""
     headers = {
         "Authorization": f"Bearer {procs.KEY}",
@@ -73,7 +73,7 @@
 
 async def direct(
     session: aiohttp.ClientSession, pre: str, dec: str, n: int
-) -> Took:
+) -> Timing:
     """The same request, sent to the engines themselves."""
     name = {"X-Request-Id": f"direct-{n}-{secrets.token_hex(4)}.1"}
     body = _body(False, n)
--- a/lab/procs.py
+++ b/lab/procs.py
@@ -66,7 +66,7 @@
         self.args: dict[str, list[str]] = {}
         self.entry_urls: dict[str, str] = {}
         self.operator_urls: list[str] = []
-        self.books: list[str] = []
+        self.ledger_urls: list[str] = []
         self._key = folder / "site.key"
         self._operator_key = folder / "operator.key"
         self._control = ""
@@ -86,7 +86,7 @@
         self.processes[name] = found
         return found
 
-    async def again(self, name: str) -> Process:
+    async def restart(self, name: str) -> Process:
         """Start a process as it was started before."""
         return await self.start(name, *self.args[name])
 
@@ -142,7 +142,7 @@
             *("-m", "lab.endpoint", kind, str(count)),
         )
         found = json.loads(process.line)
-        self.books.append(f"http://{_HOST}:{found[-1]}/held")
+        self.ledger_urls.append(f"http://{_HOST}:{found[-1]}/held")
         return [f"http://{_HOST}:{port}" for port in found[:-1]]
 
     async def _agent(
--- a/lab/quota_ways.py
+++ b/lab/quota_ways.py
@@ -17,9 +17,9 @@
 from rackpost.testing import quota_world
 from rackpost import types
 
-_KINDS: dict[str, type[quota.Quotas]] = {
-    "parts": quota_windows.EvenParts,
-    "figures": quota_windows.ToldFigures,
+_POLICIES: dict[str, type[quota.Quotas]] = {
+    "parts": quota_windows.EvenShares,
+    "figures": quota_windows.ReportedUsage,
     "buckets": quota_buckets.SharedBuckets,
 }
 _SECONDS = 20.0
@@ -32,7 +32,7 @@
 _DOWN_S = 0.6
 # What a lease holds at least: a request asks for itself and no more, since
 # what lies at gateways that are asked for nothing is lost to the others.
-_LEASE = 0
+_MIN_LEASE = 0
 
 # A question or an answer of a lease, as it would be encoded.
 _LEASE_BYTES = 30
@@ -45,9 +45,9 @@
         self.at = 0
         self._level = 0.0
         self._now = 0.0
-        self.began(-100.0)
+        self.restart(-100.0)
 
-    def began(self, now: float) -> None:
+    def restart(self, now: float) -> None:
         """It has started, and does not know what was leased before."""
         self._level = 0.0
         self._now = now
@@ -60,51 +60,51 @@
         self._level += limit.rate_per_s * max(0.0, now - self._now)
         self._level = min(self._level, size)
         self._now = max(now, self._now)
-        given = min(self._level, max(wanted, _LEASE))
+        given = min(self._level, max(wanted, _MIN_LEASE))
         if given < wanted:
             return 0
         self._level -= given
         return int(given)
 
 
-class OwnedLeases(quota_windows.Windows):
+class OwnerLeases(quota_windows.WindowQuotas):
     """One gateway owns an organisation and leases parts of its quota.
 
     What is leased counts as spent when it is given.  Without the owner a
     gateway lives on what it holds.
     """
 
-    def __init__(self, *, began: float, me: int, world: "Play") -> None:
+    def __init__(self, *, began: float, me: int, world: "Simulation") -> None:
         super().__init__(
             terms=quota_world.TERMS, began=began, limit_of=lambda name: None
         )
         self._me = me
         self._world = world
-        self._held = 0
+        self._leased = 0
 
     def check(
         self, item: model.Organisation, wanted: int, now: float
     ) -> quota.OverQuota | None:
         """None where enough is held, or the owner has it."""
-        if self._held < wanted and self._world.reaches_owner(self._me):
+        if self._leased < wanted and self._world.reaches_owner(self._me):
             self._world.lease_messages += 2
-            self._held += self._world.owner.lease(wanted, now)
-        if self._held < wanted:
-            return quota.OverQuota(1.0, 0.0, float(self._held))
+            self._leased += self._world.owner.lease(wanted, now)
+        if self._leased < wanted:
+            return quota.OverQuota(1.0, 0.0, float(self._leased))
         return None
 
     def admit(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
         """It is taken from the lease."""
-        self._held -= units
+        self._leased -= units
 
 
-class Play:
+class Simulation:
     """One way under one load and fault."""
 
-    def __init__(self, *, way: str, gateways: int, seed: int) -> None:
-        self._way = way
+    def __init__(self, *, policy: str, gateways: int, seed: int) -> None:
+        self._policy = policy
         self.owner = Owner()
         self.lease_messages = 0
         self.world: quota_world.World | None = None
@@ -113,11 +113,11 @@
         )
 
     def _make(self, began: float, me: int) -> quota.Quotas:
-        if self._way == "leases":
+        if self._policy == "leases":
             if me == self.owner.at and began > 0.0:
-                self.owner.began(began)
-            return OwnedLeases(began=began, me=me, world=self)
-        return _KINDS[self._way](
+                self.owner.restart(began)
+            return OwnerLeases(began=began, me=me, world=self)
+        return _POLICIES[self._policy](
             terms=quota_world.TERMS,
             began=began,
             limit_of=lambda name: quota_world.QUOTA,
@@ -133,8 +133,8 @@
         world = self.world
         assert world is not None
         loss = 0.1 if fault == "lossy" else 0.01
-        count = len(world.all)
-        seconds = world.play(ask_per_s=load, seconds=_SECONDS, loss=loss)
+        count = len(world.gateways)
+        seconds = world.play(requests_per_s=load, seconds=_SECONDS, loss=loss)
         for second in seconds:
             if fault == "restarts":
                 world.restart(second % count)
@@ -143,44 +143,47 @@
                 world.restart(*range(count))
             elif fault == "cut":
                 world.cut = 6 <= second < 14
-        passed = sum(units for _, units in world.passed)
+        passed = sum(units for _, units in world.admitted)
         messages = world.messages
         size = world.bytes
-        if self._way == "leases":
+        if self._policy == "leases":
             messages = self.lease_messages
             size = messages * _LEASE_BYTES
-        elif self._way == "parts":
+        elif self._policy == "parts":
             messages = size = 0
         return Outcome(
-            part=world.most_in_a_window() / quota_world.MOST,
-            passed=passed / world.now,
-            asked=world.asked / world.now,
+            promise_fraction=world.max_units_in_window()
+            / quota_world.MAX_UNITS_PER_WINDOW,
+            admitted=passed / world.now,
+            requested=world.requested / world.now,
             messages=messages / world.now / count,
             bytes=size / world.now / count,
         )
 
 
 class Outcome(NamedTuple):
-    """What came of a play; all but `part` are a second."""
+    """What came of a play; all but `promise_fraction` are a second."""
 
-    part: float
-    passed: float
-    asked: float
+    promise_fraction: float
+    admitted: float
+    requested: float
     messages: float
     bytes: float
 
 
 def _print(way: str, gateways: int, load: float, fault: str) -> None:
     found = [
-        Play(way=way, gateways=gateways, seed=seed).run(load=load, fault=fault)
+        Simulation(policy=way, gateways=gateways, seed=seed).run(
+            load=load, fault=fault
+        )
         for seed in _SEEDS
     ]
     rate = quota_world.QUOTA.rate_per_s
-    broken = sum(item.part > 1.0 for item in found)
+    broken = sum(item.promise_fraction > 1.0 for item in found)
     mean = [statistics.mean(column) for column in zip(*found)]
     print(
         f"| {way} | {gateways} | {mean[2] / rate:.2f} | {fault} "
-        f"| {mean[1] / rate:.2f} | {max(item.part for item in found):.2f} "
+        f"| {mean[1] / rate:.2f} | {max(item.promise_fraction for item in found):.2f} "
         f"| {broken} of {len(found)} | {mean[3]:.1f} | {mean[4]:.0f} |"
     )
 
@@ -195,7 +198,7 @@
     for gateways in _SIZES:
         for load in _LOADS:
             for fault in _FAULTS:
-                for way in (*_KINDS, "leases"):
+                for way in (*_POLICIES, "leases"):
                     _print(way, gateways, load, fault)
 
 
--- a/lab/quota_windows.py
+++ b/lab/quota_windows.py
@@ -13,15 +13,17 @@
 
 # A gateway that has told nothing for this long may serve on where it is not
 # heard, in seconds: figures are told each second.
-_SILENT_S = 1.3
+_SILENT_AFTER_S = 1.3
 # Everything is told again after this long, in seconds, so that a lost
 # datagram and what has left the window are made good.
-_WHOLE_S = 0.9
+_COMPLETE_REPORT_INTERVAL_S = 0.9
 # The part of what is not given out that those share who have just started.
-_FORGOTTEN_PART = 0.25
+_RECENT_START_FRACTION = 0.25
 
 
-class Told(quota.QuotaReport, frozen=True, array_like=True, kw_only=True):
+class WindowReport(
+    quota.QuotaReport, frozen=True, array_like=True, kw_only=True
+):
     """What a gateway tells others of what its clients have spent.
 
     `spent` is within the window; `ended` the same of gateways that have
@@ -31,7 +33,7 @@
     ended: dict[types.OrganisationName, int] = {}
 
 
-class Spent:
+class WindowUsage:
     """What one gateway has let pass, by organisation, over a window.
 
     What is admitted counts from then on, and leaves the window a window
@@ -40,7 +42,9 @@
 
     def __init__(self, *, window_s: float) -> None:
         self._window_s = window_s
-        self._sent: dict[types.OrganisationName, collections.deque[_Sent]] = {}
+        self._sent: dict[
+            types.OrganisationName, collections.deque[_SentUnits]
+        ] = {}
         self._totals: collections.Counter[types.OrganisationName] = (
             collections.Counter()
         )
@@ -58,14 +62,14 @@
     ) -> None:
         """A request that was admitted is sent to an endpoint."""
         found = self._sent.setdefault(name, collections.deque())
-        found.append(_Sent(now, units))
+        found.append(_SentUnits(now, units))
 
     def not_run(
         self, name: types.OrganisationName, units: int, at: float
     ) -> None:
         """What was sent at a reading has not run: it waits again."""
         try:
-            self._sent[name].remove(_Sent(at, units))
+            self._sent[name].remove(_SentUnits(at, units))
         except (KeyError, ValueError):
             # It has left the window since.
             self.reserve(name, units)
@@ -94,14 +98,14 @@
             del self._totals[name]
 
 
-class _Sent(NamedTuple):
+class _SentUnits(NamedTuple):
     """What was sent at a clock reading."""
 
     at: float
     units: int
 
 
-def against(
+def over_quota(
     terms: quota.QuotaSettings, used: float, wanted: int, bound: float
 ) -> quota.OverQuota | None:
     """None where a request stays within a bound of what is used."""
@@ -113,7 +117,7 @@
     return quota.OverQuota(part * terms.window_s, used, bound)
 
 
-class Windows(quota.Quotas):
+class WindowQuotas(quota.Quotas):
     """Counts what was admitted here over the window."""
 
     def __init__(
@@ -124,7 +128,7 @@
         limit_of: quota.LimitOf,
     ) -> None:
         super().__init__(terms=terms, began=began, limit_of=limit_of)
-        self.own = Spent(window_s=terms.window_s)
+        self.own = WindowUsage(window_s=terms.window_s)
 
     def admit(
         self, name: types.OrganisationName, units: int, now: float
@@ -151,7 +155,7 @@
         self.own.cancel(name, units)
 
 
-class EvenParts(Windows):
+class EvenShares(WindowQuotas):
     """Each gateway admits its part of the limit, and asks nobody."""
 
     def check(
@@ -161,30 +165,32 @@
         if item.quota is None:
             return None
         bound = self.terms.bound(item.quota) / max(1, self.gateways)
-        return against(self.terms, self.own.of(item.name, now), wanted, bound)
+        return over_quota(
+            self.terms, self.own.of(item.name, now), wanted, bound
+        )
 
 
-class _Heard:
+class _PeerUsage:
     """What another gateway has told in its present life."""
 
     def __init__(self, *, life: int) -> None:
-        self.life = life
+        self.incarnation = life
         self.at = 0.0
-        self.up_s = 0.0
+        self.uptime_s = 0.0
         self.spent: dict[types.OrganisationName, int] = {}
         # Of gateways that have ended, as it knew it at a reading.
         self.ended: dict[types.OrganisationName, int] = {}
         self.ended_at = 0.0
 
 
-class _Past(NamedTuple):
+class _EndedUsage(NamedTuple):
     """What a life that has ended had spent, when it was last heard of."""
 
     at: float
     spent: dict[types.OrganisationName, int]
 
 
-class ToldFigures(Windows):
+class ReportedUsage(WindowQuotas):
     """Judges by the sum of what all gateways tell.
 
     - A gateway that has ended, or is silent, counts on: what it had spent
@@ -206,10 +212,10 @@
         limit_of: quota.LimitOf,
     ) -> None:
         super().__init__(terms=terms, began=began, limit_of=limit_of)
-        self._heard: dict[types.VmId, _Heard] = {}
-        self._past: list[_Past] = []
-        self._told: dict[types.OrganisationName, int] = {}
-        self._whole_at = began
+        self._peers: dict[types.VmId, _PeerUsage] = {}
+        self._ended_usage: list[_EndedUsage] = []
+        self._last_reported: dict[types.OrganisationName, int] = {}
+        self._complete_report_at = began
 
     def receive(
         self,
@@ -223,16 +229,16 @@
         `incarnation` differs after a restart.  A newcomer is told everything
         next.
         """
-        heard = self._heard.get(sender)
-        is_new = heard is None or heard.life != incarnation
+        heard = self._peers.get(sender)
+        is_new = heard is None or heard.incarnation != incarnation
         if heard is None or is_new:
             if heard is not None:
-                self._past.append(_Past(heard.at, heard.spent))
-            heard = self._heard[sender] = _Heard(life=incarnation)
-            self._whole_at = now - _WHOLE_S
+                self._ended_usage.append(_EndedUsage(heard.at, heard.spent))
+            heard = self._peers[sender] = _PeerUsage(life=incarnation)
+            self._complete_report_at = now - _COMPLETE_REPORT_INTERVAL_S
         heard.at = now
-        heard.up_s = report.uptime_s
-        if isinstance(report, Told) and report.is_complete:
+        heard.uptime_s = report.uptime_s
+        if isinstance(report, WindowReport) and report.is_complete:
             heard.spent = dict(report.spent)
             heard.ended = dict(report.ended)
             heard.ended_at = now
@@ -240,33 +246,33 @@
             heard.spent.update(report.spent)
         return is_new
 
-    def next_report(self, now: float) -> Told:
+    def next_report(self, now: float) -> WindowReport:
         """What others should know: all, or what has grown since."""
         recent = self.own.recent(now)
-        whole = now >= self._whole_at + _WHOLE_S
+        whole = now >= self._complete_report_at + _COMPLETE_REPORT_INTERVAL_S
         if whole:
-            self._whole_at = now
+            self._complete_report_at = now
             spent = recent
         else:
             spent = {
                 name: value
                 for name, value in recent.items()
-                if value > self._told.get(name, 0)
+                if value > self._last_reported.get(name, 0)
             }
-        self._told = recent
-        return Told(
+        self._last_reported = recent
+        return WindowReport(
             uptime_s=int(now - self.began),
             is_complete=whole,
             spent=spent,
-            ended=self._ended(now) if whole else {},
+            ended=self._ended_units(now) if whole else {},
         )
 
-    def _ended(self, now: float) -> dict[types.OrganisationName, int]:
+    def _ended_units(self, now: float) -> dict[types.OrganisationName, int]:
         """What gateways that have ended had spent, as seen here."""
         found: collections.Counter[types.OrganisationName]
         found = collections.Counter()
-        for past in self._past:
-            part = self._left(past.at, now)
+        for past in self._ended_usage:
+            part = self._remaining_fraction(past.at, now)
             for name, units in past.spent.items():
                 found[name] += int(units * part)
         return {name: units for name, units in found.items() if units > 0}
@@ -274,26 +280,32 @@
     def forget(self, now: float) -> None:
         """Drop what has left the window."""
         before = now - self.terms.window_s
-        self._past = [item for item in self._past if item.at > before]
-        for sender, heard in list(self._heard.items()):
+        self._ended_usage = [
+            item for item in self._ended_usage if item.at > before
+        ]
+        for sender, heard in list(self._peers.items()):
             if heard.at <= before:
-                del self._heard[sender]
+                del self._peers[sender]
 
     def used(self, name: types.OrganisationName, now: float) -> float:
         """What was spent at all gateways that are known."""
         found = float(self.own.of(name, now))
         ended = 0.0
-        for past in self._past:
-            ended += past.spent.get(name, 0) * self._left(past.at, now)
-        for heard in self._heard.values():
+        for past in self._ended_usage:
+            ended += past.spent.get(name, 0) * self._remaining_fraction(
+                past.at, now
+            )
+        for heard in self._peers.values():
             units = heard.spent.get(name, 0)
-            found += units * self._left(heard.at, now)
-            told = heard.ended.get(name, 0) * self._left(heard.ended_at, now)
+            found += units * self._remaining_fraction(heard.at, now)
+            told = heard.ended.get(name, 0) * self._remaining_fraction(
+                heard.ended_at, now
+            )
             # All tell of the same: who has run longest knows most.
             ended = max(ended, told)
         return found + ended
 
-    def _left(self, at: float, now: float) -> float:
+    def _remaining_fraction(self, at: float, now: float) -> float:
         """The part of what was told at a reading that counts still.
 
         It may have been spent all at the end, or evenly: it counts in full
@@ -305,7 +317,7 @@
     def bound(self, quota_: model.Quota, now: float) -> float:
         """The limit, or the part of those that are heard."""
         heard = 1 + sum(
-            now - item.at <= _SILENT_S for item in self._heard.values()
+            now - item.at <= _SILENT_AFTER_S for item in self._peers.values()
         )
         return self.terms.bound(quota_) * min(1.0, heard / self.gateways)
 
@@ -317,25 +329,27 @@
             return None
         used = self.used(item.name, now)
         bound = self.bound(item.quota, now)
-        refused = against(self.terms, used, wanted, bound)
+        refused = over_quota(self.terms, used, wanted, bound)
         if refused is not None:
             return refused
         up_s = now - self.began
         if up_s >= self.terms.window_s:
             return None
-        spent = self._spent_by_new(item.name, now)
+        spent = self._spent_by_recently_started(item.name, now)
         most = item.quota.rate_per_s * up_s
-        most += _FORGOTTEN_PART * self.terms.reserve
+        most += _RECENT_START_FRACTION * self.terms.reserve
         over = spent + wanted - most
         if over <= 0.0:
             return None
         room_s = over / item.quota.rate_per_s
         return quota.OverQuota(min(room_s, self.terms.window_s), spent, most)
 
-    def _spent_by_new(self, name: types.OrganisationName, now: float) -> float:
+    def _spent_by_recently_started(
+        self, name: types.OrganisationName, now: float
+    ) -> float:
         """What those have admitted that have not run for a window."""
         found = float(self.own.of(name, now))
-        for heard in self._heard.values():
-            if heard.up_s + now - heard.at < self.terms.window_s:
+        for heard in self._peers.values():
+            if heard.uptime_s + now - heard.at < self.terms.window_s:
                 found += heard.spent.get(name, 0)
         return found
--- a/lab/rate_ways.py
+++ b/lab/rate_ways.py
@@ -28,10 +28,10 @@
     "50 a second": {"rate": 50.0, "asked": 200.0},
 }
 # Changes are gathered so long before they are told, in seconds.
-_GATHER_S = 0.013
+_BATCHING_DELAY_S = 0.013
 
 
-class _Bucket:
+class _TokenBucket:
     """A bucket that holds one request, and a quarter of a second's."""
 
     def __init__(self, *, per_s: float, now: float) -> None:
@@ -55,13 +55,13 @@
         return min(most, level)
 
 
-class _Alone(rate_world.Way):
+class _LocalBucket(rate_world.RatePolicy):
     """Each gateway keeps to a part of the rate by itself."""
 
     def __init__(self, *, world: rate_world.World, part: float) -> None:
         self._world = world
         per_s = world.spec.rate * part
-        self._bucket = _Bucket(per_s=per_s, now=world.now())
+        self._bucket = _TokenBucket(per_s=per_s, now=world.now())
 
     async def may_send(self) -> bool:
         """Whether its own bucket holds one."""
@@ -71,10 +71,10 @@
         self._bucket.take(now)
         return True
 
-    def take(self, data: bytes, sender: address.Address) -> None:
+    def receive(self, data: bytes, sender: address.Address) -> None:
         """Nothing is told."""
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         """Nothing is told."""
 
 
@@ -89,61 +89,61 @@
 _DECODER = codec.Decoder(kinds=_Total)
 
 
-class _Shared(_Alone):
+class _PublishedTotals(_LocalBucket):
     """A bucket that all keep alike: each tells what it has sent."""
 
     def __init__(self, *, world: rate_world.World, vm: types.VmId) -> None:
         super().__init__(world=world, part=1.0)
         self._vm = vm
-        self._life = world.rng.getrandbits(32)
+        self._incarnation = world.rng.getrandbits(32)
         self._sent = 0
-        self._known: dict[types.VmId, _Total] = {}
+        self._last_totals: dict[types.VmId, _Total] = {}
 
     async def may_send(self) -> bool:
         """Whether the bucket, as it is known here, holds one."""
         if not await super().may_send():
             return False
         self._sent += 1
-        self._world.loop.call_later(_GATHER_S, self.tell)
+        self._world.loop.call_later(_BATCHING_DELAY_S, self.publish)
         return True
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         """Tell all others."""
-        msg = _Total(vm=self._vm, life=self._life, sent=self._sent)
+        msg = _Total(vm=self._vm, life=self._incarnation, sent=self._sent)
         data = codec.encode(msg)
         for name in self._world.names:
             if name != self._vm:
                 self._world.send(self._vm, name, data)
 
-    def take(self, data: bytes, sender: address.Address) -> None:
+    def receive(self, data: bytes, sender: address.Address) -> None:
         """Draw what another one has sent since its last word."""
         told = _DECODER.decode(data)
-        known = self._known.get(told.vm)
+        known = self._last_totals.get(told.vm)
         before = 0
         if known is not None and known.life == told.life:
             before = known.sent
         if told.sent > before:
             self._bucket.take(self._world.now(), told.sent - before)
-            self._known[told.vm] = told
+            self._last_totals[told.vm] = told
 
 
-_Make = Callable[[rate_world.World, types.VmId], rate_world.Way]
-_WAYS: dict[str, _Make] = {
-    "each alone": lambda world, vm: _Alone(world=world, part=1.0),
-    "even parts": lambda world, vm: _Alone(
+_Make = Callable[[rate_world.World, types.VmId], rate_world.RatePolicy]
+_POLICIES: dict[str, _Make] = {
+    "each alone": lambda world, vm: _LocalBucket(world=world, part=1.0),
+    "even parts": lambda world, vm: _LocalBucket(
         world=world, part=1.0 / len(world.names)
     ),
-    "told totals": lambda world, vm: _Shared(world=world, vm=vm),
-    "grants": lambda world, vm: rate_world.GrantsWay(world=world, vm=vm),
+    "told totals": lambda world, vm: _PublishedTotals(world=world, vm=vm),
+    "grants": lambda world, vm: rate_world.GrantsPolicy(world=world, vm=vm),
 }
 
 
 def _print(way: str, size: int, case: str) -> None:
     spec = rate_world.Spec(gateways=size, **_CASES[case])  # type: ignore
-    plays = [rate_world.play(spec, seed, _WAYS[way]) for seed in _SEEDS]
-    worst = max(play.over() for play in plays)
-    broken = sum(play.over() > 0 for play in plays)
-    used = sum(play.used for play in plays) / len(plays)
+    plays = [rate_world.play(spec, seed, _POLICIES[way]) for seed in _SEEDS]
+    worst = max(play.worst_excess() for play in plays)
+    broken = sum(play.worst_excess() > 0 for play in plays)
+    used = sum(play.utilization for play in plays) / len(plays)
     sent = sum(play.messages for play in plays) / len(plays) / spec.seconds
     print(
         f"| {way} | {size} | {case} | {worst:+.0f} "
@@ -159,7 +159,7 @@
     sizes = [int(word) for word in sys.argv[1:]] or _SIZES
     for case in _CASES:
         for size in sizes:
-            for way in _WAYS:
+            for way in _POLICIES:
                 _print(way, size, case)
 
 
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -67,7 +67,7 @@
     return found
 
 
-def _ask() -> endpoint_view.Requirements:
+def _requirements() -> endpoint_view.Requirements:
     return endpoint_view.Requirements(
         service=types.ServiceName("s"),
         kind=types.KindName("k"),
@@ -86,7 +86,7 @@
     found = {}
     for count in (8, 16, 32, 64, 600):
         pool = _views(count)
-        ask = _ask()
+        ask = _requirements()
         times = []
         for _ in range(600):
             began = time.perf_counter()
@@ -238,7 +238,7 @@
             body=bytes(4000),
         ),
         number=types.Attempt(1),
-        ask=_ask(),
+        ask=_requirements(),
         offset=0,
         pool=pool.Pool(rng=rng),
         policy=placement.JointPolicy(rng=rng),
@@ -390,7 +390,7 @@
         loop = asyncio.get_running_loop()
         group.kill(old)
         began = loop.time()
-        await group.await_leader(but=old)
+        await group.await_leader(exclude=old)
         took = loop.time() - began
         group.close()
         return took
--- a/rackpost/testing/claims.py
+++ b/rackpost/testing/claims.py
@@ -16,12 +16,12 @@
 
     def __init__(self, *, delay_s: float = 0.003) -> None:
         self.table = table.ClaimTable()
-        self.away = False
+        self.unreachable = False
         self._delay_s = delay_s
 
     async def _trip(self) -> None:
         await asyncio.sleep(self._delay_s)
-        if self.away:
+        if self.unreachable:
             raise exceptions.ControlError("control is away")
 
     async def claim(
--- a/rackpost/testing/cluster.py
+++ b/rackpost/testing/cluster.py
@@ -159,11 +159,11 @@
                 for end in ends:
                     end.close()
 
-    def silence(self, name: str) -> None:
+    def isolate(self, name: str) -> None:
         """The VM is cut off in silence: nothing gets in or out."""
         self._set_cut(name, True)
 
-    def hear(self, name: str) -> None:
+    def reconnect(self, name: str) -> None:
         """The VM is reached again."""
         self._set_cut(name, False)
 
@@ -192,11 +192,11 @@
         ]
         return max(found)[1] if found else None
 
-    async def await_leader(self, but: str = "") -> str:
-        """Wait until there is a leader other than `but`."""
+    async def await_leader(self, exclude: str = "") -> str:
+        """Wait until there is a leader other than `exclude`."""
         while True:
             name = self.leader()
-            if name is not None and name != but:
+            if name is not None and name != exclude:
                 return name
             await asyncio.sleep(0.01)
 
--- a/rackpost/testing/demo_site.py
+++ b/rackpost/testing/demo_site.py
@@ -178,7 +178,7 @@
     values: dict = {
         f"{deployment.model}.type": "model",
         f"{deployment.plain}.type": "plain",
-        f"{deployment.model}.default_kind": deployment.rush,
+        f"{deployment.model}.default_kind": deployment.burst_kind,
     }
     for kind in deployment.kinds:
         scope = f"{kind.service}/{kind.name}"
--- a/rackpost/testing/engine.py
+++ b/rackpost/testing/engine.py
@@ -59,7 +59,7 @@
         ]
 
 
-class _Kept:
+class _ExportedCache:
     """A prefill's result, kept for export."""
 
     def __init__(self, *, key: slots.AttemptKey, size: int) -> None:
@@ -73,8 +73,8 @@
 
     def __init__(self, *, key: slots.AttemptKey, pieces: list[str]) -> None:
         self.key = key
-        self.pieces = pieces
-        self.at = 0
+        self.tokens = pieces
+        self.position = 0
         self.out: asyncio.Queue[str | Exception | None] = asyncio.Queue()
 
 
@@ -126,7 +126,7 @@
         self._peers = peers
         peers[name] = self
         self._rng = rng
-        self._kept: dict[str, _Kept] = {}
+        self._exported: dict[str, _ExportedCache] = {}
         self._prefills: list[tuple[int, int, slots.AttemptKey]] = []
         self._turns: dict[slots.AttemptKey, asyncio.Event] = {}
         self._prefilling: slots.AttemptKey | None = None
@@ -134,7 +134,7 @@
         self._waiting: collections.OrderedDict[
             slots.AttemptKey, asyncio.Event
         ] = collections.OrderedDict()
-        self._taken: set[slots.AttemptKey] = set()
+        self._occupied: set[slots.AttemptKey] = set()
         self._active: dict[slots.AttemptKey, _Stream] = {}
         self._stepper: asyncio.Task[None] | None = None
         self._cache = prefix.PrefixHints(max_blocks=spec.cache_blocks)
@@ -144,8 +144,8 @@
 
     def held(self) -> set[types.RequestId]:
         """The requests for which any memory is held."""
-        kept = {item.key.req for item in self._kept.values()}
-        taken = {key.req for key in self._taken}
+        kept = {item.key.req for item in self._exported.values()}
+        taken = {key.req for key in self._occupied}
         return kept | taken | {key.req for key in self._turns}
 
     def kill(self) -> None:
@@ -155,8 +155,8 @@
         for strm in self._active.values():
             strm.out.put_nowait(error)
         self._active.clear()
-        self._taken.clear()
-        self._kept.clear()
+        self._occupied.clear()
+        self._exported.clear()
         for turn in [*self._turns.values(), *self._waiting.values()]:
             turn.set()
 
@@ -171,7 +171,7 @@
     ) -> engine.PrefillResult:
         """Wait for the turn, spend the time, keep the result."""
         tokens, cached = await self._prefill(key, body, priority)
-        return self._keep(key, tokens, cached)
+        return self._export(key, tokens, cached)
 
     async def warm(
         self, *, key: slots.AttemptKey, body: bytes, priority: int
@@ -185,20 +185,22 @@
         self._check(ran=False)
         prompt = prompt_of(body)
         try:
-            await self._turn(key, priority)
+            await self._wait_for_prefill_turn(key, priority)
             return await self._prefill_now(key, prompt)
         finally:
-            self._pass_turn(key)
+            self._end_prefill_turn(key)
 
-    async def _turn(self, key: slots.AttemptKey, priority: int) -> None:
+    async def _wait_for_prefill_turn(
+        self, key: slots.AttemptKey, priority: int
+    ) -> None:
         turn = asyncio.Event()
         self._turns[key] = turn
         self._order += 1
         heapq.heappush(self._prefills, (priority, self._order, key))
-        self._next_prefill()
+        self._start_next_prefill()
         await turn.wait()
 
-    def _next_prefill(self) -> None:
+    def _start_next_prefill(self) -> None:
         while self._prefilling is None and self._prefills:
             key = heapq.heappop(self._prefills)[2]
             turn = self._turns.get(key)
@@ -206,11 +208,11 @@
                 self._prefilling = key
                 turn.set()
 
-    def _pass_turn(self, key: slots.AttemptKey) -> None:
+    def _end_prefill_turn(self, key: slots.AttemptKey) -> None:
         self._turns.pop(key, None)
         if self._prefilling == key:
             self._prefilling = None
-        self._next_prefill()
+        self._start_next_prefill()
 
     async def _prefill_now(
         self, key: slots.AttemptKey, prompt: bytes
@@ -226,23 +228,23 @@
         await asyncio.sleep(spent * self.slowness)
         self._check(ran=True)
         self._cache.add(blocks)
-        self._emit(blocks)
+        self._queue_event(blocks)
         return tokens, cached
 
-    def _keep(
+    def _export(
         self, key: slots.AttemptKey, tokens: int, cached: int
     ) -> engine.PrefillResult:
         handle = f"{key.req}.{key.attempt}"
-        item = _Kept(key=key, size=tokens * self.spec.kv_token_bytes)
+        item = _ExportedCache(key=key, size=tokens * self.spec.kv_token_bytes)
         loop = asyncio.get_running_loop()
         item.expiry = loop.call_later(
-            self.spec.kv_keep_s, self._kept.pop, handle, None
+            self.spec.kv_keep_s, self._exported.pop, handle, None
         )
-        self._kept[handle] = item
+        self._exported[handle] = item
         kv = {"remote_engine_id": self.name, "remote_block_ids": [handle]}
         return engine.PrefillResult(kv=kv, cached_tokens=cached)
 
-    def _emit(self, blocks: tuple[types.BlockHash, ...]) -> None:
+    def _queue_event(self, blocks: tuple[types.BlockHash, ...]) -> None:
         if self._rng.random() >= self.spec.event_loss:
             due = asyncio.get_running_loop().time() + self.spec.event_lag_s
             self._events.append((due, blocks))
@@ -261,19 +263,19 @@
         handle = str((kv.get("remote_block_ids") or [""])[0])
         if peer is None or peer.dead:
             raise engine.TransferFailed("exporting engine is gone")
-        item = peer._kept.get(handle)
+        item = peer._exported.get(handle)
         if item is None:
             raise engine.KvExpired("KV cache is no longer kept")
         if item.expiry is not None:
             item.expiry.cancel()
         try:
-            await self._move(peer, item.size)
+            await self._transfer(peer, item.size)
         finally:
-            peer._kept.pop(handle, None)
+            peer._exported.pop(handle, None)
         if peer.dead or self.dead:
             raise engine.TransferFailed("engine died in transfer")
 
-    async def _move(self, peer: "StandInEngine", size: int) -> None:
+    async def _transfer(self, peer: "StandInEngine", size: int) -> None:
         loop = asyncio.get_running_loop()
         await peer.link_up.wait()
         await self.link_up.wait()
@@ -299,15 +301,15 @@
         self._check(ran=False)
         self.ledger.runs[key.req] += 1
         strm = _Stream(key=key, pieces=answer_to(body))
-        strm.at = offset
+        strm.position = offset
         try:
-            await self._slot(key)
+            await self._acquire_slot(key)
             if kv is not None:
                 await self._import(kv)
             elif not offset:
                 await self._prefill(key, body, priority)
             self._check(ran=True)
-            self._join(strm)
+            self._add_to_batch(strm)
             while True:
                 piece = await strm.out.get()
                 if piece is None:
@@ -316,27 +318,27 @@
                     raise piece
                 yield piece
         finally:
-            self._free(key)
+            self._release_slot(key)
 
-    async def _slot(self, key: slots.AttemptKey) -> None:
-        if len(self._taken) >= self.spec.slots:
+    async def _acquire_slot(self, key: slots.AttemptKey) -> None:
+        if len(self._occupied) >= self.spec.slots:
             turn = asyncio.Event()
             self._waiting[key] = turn
             await turn.wait()
             self._check(ran=True)
-        self._taken.add(key)
+        self._occupied.add(key)
 
-    def _free(self, key: slots.AttemptKey) -> None:
+    def _release_slot(self, key: slots.AttemptKey) -> None:
         self._active.pop(key, None)
         self._waiting.pop(key, None)
-        self._taken.discard(key)
-        free = self.spec.slots - len(self._taken)
+        self._occupied.discard(key)
+        free = self.spec.slots - len(self._occupied)
         while self._waiting and free > 0:
             _, turn = self._waiting.popitem(last=False)
             turn.set()
             free -= 1
 
-    def _join(self, strm: _Stream) -> None:
+    def _add_to_batch(self, strm: _Stream) -> None:
         self._active[strm.key] = strm
         if self._stepper is None or self._stepper.done():
             self._stepper = asyncio.create_task(self._steps())
@@ -350,23 +352,23 @@
         while self._active:
             await asyncio.sleep(self.step_s())
             for strm in list(self._active.values()):
-                self._one_token(strm)
+                self._generate_token(strm)
 
-    def _one_token(self, strm: _Stream) -> None:
-        if strm.at < len(strm.pieces):
-            strm.out.put_nowait(strm.pieces[strm.at])
-            strm.at += 1
-        if strm.at >= len(strm.pieces):
+    def _generate_token(self, strm: _Stream) -> None:
+        if strm.position < len(strm.tokens):
+            strm.out.put_nowait(strm.tokens[strm.position])
+            strm.position += 1
+        if strm.position >= len(strm.tokens):
             self._active.pop(strm.key, None)
             strm.out.put_nowait(None)
 
     async def abort(self, *, key: slots.AttemptKey) -> None:
         """Forget a request, wherever it is."""
-        self._kept.pop(f"{key.req}.{key.attempt}", None)
+        self._exported.pop(f"{key.req}.{key.attempt}", None)
         strm = self._active.pop(key, None)
         if strm is not None:
             strm.out.put_nowait(exceptions.EngineError("aborted"))
-        self._free(key)
+        self._release_slot(key)
 
     async def call(
         self, **_: Any
--- a/rackpost/testing/engine_http.py
+++ b/rackpost/testing/engine_http.py
@@ -18,7 +18,7 @@
 from rackpost import types
 
 # Cache events are numbered; this many are kept for slow readers.
-_KEPT_EVENTS = 4096
+_MAX_KEPT_EVENTS = 4096
 
 
 def _key_of(req: requests.Request) -> slots.AttemptKey:
@@ -143,7 +143,7 @@
         if seen.stored:
             self._last += 1
             self._events.append((self._last, seen.stored))
-            del self._events[:-_KEPT_EVENTS]
+            del self._events[:-_MAX_KEPT_EVENTS]
         after = int(req.query_params.get("after", 0))
         found = [
             {"type": "BlockStored", "block_hashes": list(blocks)}
--- a/rackpost/testing/fleet.py
+++ b/rackpost/testing/fleet.py
@@ -34,9 +34,9 @@
 # How finely the making of tokens is followed, in seconds.
 _STEP_S = 0.01
 # Clients leave a stream that has not begun after so many targets.
-_PATIENCE = 4.0
+_PATIENCE_TARGETS = 4.0
 # An endpoint that decodes reads at half the pace of one that prefills.
-_IN_PLACE_X = 2.0
+_IN_PLACE_SLOWDOWN = 2.0
 
 
 class Spec(msgspec.Struct, frozen=True, kw_only=True):
@@ -72,13 +72,13 @@
     target_s: float = 0.92
     pause_s: float = 0.3
     # How old figures of other gateways are when they come.
-    told_s: float = 0.013
+    report_delay_s: float = 0.013
 
 
 class Outcome(msgspec.Struct, kw_only=True):
     """What became of the requests."""
 
-    asked: int = 0
+    requests: int = 0
     in_time: int = 0
     late_start: int = 0
     long_pause: int = 0
@@ -99,21 +99,21 @@
     ) -> None:
         self.prompt = prompt
         self.answer = answer
-        self.made = 0.0
+        self.generated = 0.0
         self.events = 0
         self.progress = progress
         self.first_at = math.inf
         self.last_at = 0.0
-        self.longest_s = 0.0
+        self.longest_pause_s = 0.0
         self.ended = asyncio.Event()
 
     @property
     def size(self) -> int:
         """Tokens that it holds."""
-        return self.prompt + int(self.made)
+        return self.prompt + int(self.generated)
 
 
-class _Engine:
+class _DecodeEngine:
     """An endpoint that decodes."""
 
     def __init__(self, *, spec: Spec, outcome: Outcome) -> None:
@@ -123,13 +123,13 @@
         self._runs: list[_Stream] = []
         self._preempted: list[_Stream] = []
         # Until then it reads a prompt and makes no tokens.
-        self._reads_until = 0.0
+        self._prefilling_until = 0.0
 
     @property
     def _used(self) -> int:
         return sum(item.size for item in self._runs)
 
-    def take(self, stream: _Stream) -> bool:
+    def start(self, stream: _Stream) -> bool:
         """Let a run begin whose prompt has been read; False if full."""
         if self._used + stream.size > self._spec.memory:
             return False
@@ -142,47 +142,47 @@
         while True:
             await asyncio.sleep(_STEP_S)
             now = self._loop.time()
-            self._take_up(now)
-            if now >= self._reads_until:
-                self._make(now)
-            self._make_room()
+            self._resume_preempted(now)
+            if now >= self._prefilling_until:
+                self._generate(now)
+            self._preempt_newest()
 
-    def _take_up(self, now: float) -> None:
+    def _resume_preempted(self, now: float) -> None:
         """Read a run that was preempted anew, if there is room."""
-        if not self._preempted or now < self._reads_until:
+        if not self._preempted or now < self._prefilling_until:
             return
         first = self._preempted[0]
         if self._used + first.size > 0.98 * self._spec.memory:
             return
         self._preempted.pop(0)
         self._runs.append(first)
-        took = first.size * self._spec.read_s * _IN_PLACE_X
-        self._reads_until = now + took
+        took = first.size * self._spec.read_s * _IN_PLACE_SLOWDOWN
+        self._prefilling_until = now + took
 
-    def _make(self, now: float) -> None:
+    def _generate(self, now: float) -> None:
         spec = self._spec
         count = len(self._runs)
         token_s = spec.token_s + count * spec.token_each_s
         for stream in list(self._runs):
-            stream.made += _STEP_S / token_s
-            ended = stream.made >= stream.answer
-            if ended or stream.made >= (stream.events + 1) * spec.event:
-                self._note_event(stream, now)
+            stream.generated += _STEP_S / token_s
+            ended = stream.generated >= stream.answer
+            if ended or stream.generated >= (stream.events + 1) * spec.event:
+                self._record_event(stream, now)
             if ended:
                 self._runs.remove(stream)
                 stream.ended.set()
 
-    def _note_event(self, stream: _Stream, now: float) -> None:
+    def _record_event(self, stream: _Stream, now: float) -> None:
         if stream.events:
             pause = now - stream.last_at
-            stream.longest_s = max(stream.longest_s, pause)
+            stream.longest_pause_s = max(stream.longest_pause_s, pause)
         else:
             stream.first_at = now
         stream.events += 1
         stream.last_at = now
         stream.progress.record_event()
 
-    def _make_room(self) -> None:
+    def _preempt_newest(self) -> None:
         while self._used > self._spec.memory:
             newest = self._runs.pop()
             self._preempted.append(newest)
@@ -190,7 +190,7 @@
             self._outcome.wasted += newest.size
 
 
-class _Reader:
+class _PrefillEngine:
     """An endpoint that prefills, one prompt after the other."""
 
     def __init__(self, *, spec: Spec) -> None:
@@ -198,7 +198,7 @@
         self._loop = asyncio.get_running_loop()
         self._free_at = 0.0
 
-    async def read(self, prompt: int) -> float:
+    async def prefill(self, prompt: int) -> float:
         """Read a prompt; how long that took, in seconds."""
         now = self._loop.time()
         self._free_at = max(now, self._free_at) + prompt * self._spec.read_s
@@ -211,13 +211,13 @@
 
     def __init__(self, *, number: int, spec: Spec) -> None:
         self.vm = types.VmId(f"g{number}")
-        self.told = asyncio.Event()
-        self.changed = asyncio.Event()
-        self.loads = endpoint_load.LoadTable(on_change=self.told.set)
+        self.load_changed = asyncio.Event()
+        self.capacity_changed = asyncio.Event()
+        self.loads = endpoint_load.LoadTable(on_change=self.load_changed.set)
         self.health = endpoint_health.HealthTracker()
-        self.pace = token_timing_mod.TokenTiming()
+        self.token_timing = token_timing_mod.TokenTiming()
         self.lengths = answer_lengths.AnswerLengths()
-        self.number = 0
+        self.sequence = 0
         rng = random.Random(number)
         table = endpoints.EndpointTable()
         for item in _endpoints(spec):
@@ -237,21 +237,23 @@
             rng=rng,
         )
         chooser.set_gateways(spec.gateways)
-        self.room = admission_queue_mod.AdmissionQueue(
+        self.admission_queue = admission_queue_mod.AdmissionQueue(
             chooser=chooser,
             loads=self.loads,
-            pace=self.pace,
+            pace=self.token_timing,
             rng=rng,
             vm=self.vm,
-            capacity_changed=self.changed,
-            on_waiters_changed=self.told.set,
+            capacity_changed=self.capacity_changed,
+            on_waiters_changed=self.load_changed.set,
         )
         # As after a while of serving.
-        self.pace.record_prefill(1000, 1000 * spec.read_s)
+        self.token_timing.record_prefill(1000, 1000 * spec.read_s)
         made_s = spec.token_s + 8 * spec.token_each_s
-        self.pace.record_decode(4000, 4000 * made_s)
+        self.token_timing.record_decode(4000, 4000 * made_s)
 
-    def uses(self) -> dict[types.EndpointId, endpoint_load.EndpointLoad]:
+    def reported_loads(
+        self,
+    ) -> dict[types.EndpointId, endpoint_load.EndpointLoad]:
         """Its figures, as they are told."""
         return {
             key: endpoint_load.EndpointLoad(
@@ -306,13 +308,13 @@
             _Gateway(number=number, spec=spec)
             for number in range(spec.gateways)
         ]
-        self._readers = {
-            item.id: _Reader(spec=spec)
+        self._prefill_engines = {
+            item.id: _PrefillEngine(spec=spec)
             for item in _endpoints(spec)
             if item.role is types.Role.PREFILL
         }
-        self._engines = {
-            item.id: _Engine(spec=spec, outcome=self.outcome)
+        self._decode_engines = {
+            item.id: _DecodeEngine(spec=spec, outcome=self.outcome)
             for item in _endpoints(spec)
             if item.role is types.Role.DECODE
         }
@@ -337,14 +339,14 @@
     async def _running(self) -> AsyncIterator[None]:
         tasks = [
             asyncio.create_task(engine.run())
-            for engine in self._engines.values()
+            for engine in self._decode_engines.values()
         ]
         for gateway in self._gateways:
-            tasks.append(asyncio.create_task(gateway.room.run()))
-            tasks.append(asyncio.create_task(self._tell(gateway)))
+            tasks.append(asyncio.create_task(gateway.admission_queue.run()))
+            tasks.append(asyncio.create_task(self._publish_loop(gateway)))
         # All know of each other before anybody asks.
         for gateway in self._gateways:
-            self._send(gateway)
+            self._publish(gateway)
         try:
             yield
         finally:
@@ -352,32 +354,32 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _tell(self, gateway: _Gateway) -> None:
+    async def _publish_loop(self, gateway: _Gateway) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
-                    await gateway.told.wait()
-                await asyncio.sleep(self._spec.told_s)
-            gateway.told.clear()
-            self._send(gateway)
+                    await gateway.load_changed.wait()
+                await asyncio.sleep(self._spec.report_delay_s)
+            gateway.load_changed.clear()
+            self._publish(gateway)
 
-    def _send(self, gateway: _Gateway) -> None:
+    def _publish(self, gateway: _Gateway) -> None:
         self.outcome.messages += 1
-        gateway.number += 1
+        gateway.sequence += 1
         now = self._loop.time()
-        uses = gateway.uses()
-        first = gateway.room.most_urgent_waiters(now)
+        uses = gateway.reported_loads()
+        first = gateway.admission_queue.most_urgent_waiters(now)
         for other in self._gateways:
             if other is not gateway:
                 other.loads.receive(
-                    gateway.vm, 1, gateway.number, uses, now, waiting=first
+                    gateway.vm, 1, gateway.sequence, uses, now, waiting=first
                 )
-                other.changed.set()
+                other.capacity_changed.set()
 
     async def _request(self) -> None:
         spec = self._spec
         rng = self._rng
-        self.outcome.asked += 1
+        self.outcome.requests += 1
         gateway = rng.choice(self._gateways)
         prompt = int(_size(rng, spec.prompt, spec.prompt_spread))
         answer = min(
@@ -387,10 +389,10 @@
         off = rng.lognormvariate(0.0, spec.guess_spread)
         guess = min(spec.most_answer, int(answer * off))
         began = self._loop.time()
-        while not await self._try(gateway, prompt, answer, guess, began):
+        while not await self._attempt(gateway, prompt, answer, guess, began):
             self.outcome.rejected += 1
 
-    async def _try(
+    async def _attempt(
         self,
         gateway: _Gateway,
         prompt: int,
@@ -407,22 +409,24 @@
             event_tokens=spec.event,
             spread=gateway.lengths.spread,
         )
-        place = await gateway.room.reserve(
-            _wanted(spec, gateway.pace, progress.run, began)
+        place = await gateway.admission_queue.reserve(
+            _reservation_request(
+                spec, gateway.token_timing, progress.run, began
+            )
         )
         if isinstance(place, reservation_mod.NoCapacity):
             self.outcome.refused += 1
             return True
         try:
             if place.prefill_endpoint is not None:
-                took = await self._readers[place.prefill_endpoint.id].read(
-                    prompt
-                )
-                gateway.pace.record_prefill(prompt, took)
+                took = await self._prefill_engines[
+                    place.prefill_endpoint.id
+                ].prefill(prompt)
+                gateway.token_timing.record_prefill(prompt, took)
             place.record_prefilled()
             stream = _Stream(prompt=prompt, answer=answer, progress=progress)
-            engine = self._engines[place.endpoint.id]
-            if not engine.take(stream):
+            engine = self._decode_engines[place.endpoint.id]
+            if not engine.start(stream):
                 self.outcome.wasted += prompt
                 gateway.health.record_rejection(
                     place.endpoint.id, place.reserved_at
@@ -432,18 +436,18 @@
         finally:
             place.release()
         gateway.lengths.record_answer(guess=guess, actual=answer)
-        self._note(stream, began)
+        self._record_outcome(stream, began)
         return True
 
-    def _note(self, stream: _Stream, began: float) -> None:
+    def _record_outcome(self, stream: _Stream, began: float) -> None:
         late = stream.first_at - began > self._spec.target_s
-        paused = stream.longest_s > self._spec.pause_s
+        paused = stream.longest_pause_s > self._spec.pause_s
         self.outcome.late_start += late
         self.outcome.long_pause += paused
         self.outcome.in_time += not (late or paused)
 
 
-def _wanted(
+def _reservation_request(
     spec: Spec,
     pace: token_timing_mod.TokenTiming,
     run: kv_forecast.Run,
@@ -459,7 +463,7 @@
         claim=queue_order.WaitingRequest(
             priority=1,
             target=began + spec.target_s,
-            start_by=began + _PATIENCE * spec.target_s,
+            start_by=began + _PATIENCE_TARGETS * spec.target_s,
             deadline=began + 14.0,
             start_s=start_s,
             run_s=start_s + pace.decode_s(run.remaining_tokens),
--- a/rackpost/testing/plain.py
+++ b/rackpost/testing/plain.py
@@ -28,7 +28,7 @@
         self.ledger = ledger
         self.dead = False
         self.slowness = 1.0
-        self._room = asyncio.Semaphore(SLOTS)
+        self._capacity = asyncio.Semaphore(SLOTS)
 
     async def prefill(
         self, *, key: slots.AttemptKey, body: bytes, priority: int
@@ -67,7 +67,7 @@
         """Spend the time, then answer."""
         if self.dead:
             raise exceptions.EngineError("service is down", ran=False)
-        async with self._room:
+        async with self._capacity:
             self.ledger.runs[key.req] += 1
             await asyncio.sleep(CALL_S * self.slowness)
         if self.dead:
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -31,10 +31,10 @@
 
 # What the users allow in a window, of that many seconds.
 WINDOW_S = 4.0
-_ALLOWED_X = 1.5
-_ALLOWED_MORE = 5
+_ALLOWED_RATE_FACTOR = 1.5
+_ALLOWED_BURST = 5
 # Gateways tell each other this often, in seconds.
-_TELL_S = 1.0
+_PUBLISH_INTERVAL_S = 1.0
 _DECODER = codec.Decoder(kinds=messages.BetweenGateways)
 
 ENDPOINT = endpoints.Endpoint(
@@ -67,7 +67,7 @@
     cut: tuple[float, float] = (0.0, 0.0)
 
 
-class Way(abc.ABC):
+class RatePolicy(abc.ABC):
     """How one gateway decides whether it may send a request."""
 
     @abc.abstractmethod
@@ -75,11 +75,11 @@
         """Whether one request may be sent now."""
 
     @abc.abstractmethod
-    def take(self, data: bytes, sender: address.Address) -> None:
+    def receive(self, data: bytes, sender: address.Address) -> None:
         """A datagram has come."""
 
     @abc.abstractmethod
-    def tell(self) -> None:
+    def publish(self) -> None:
         """A second has passed: tell the others."""
 
 
@@ -91,15 +91,15 @@
         *,
         spec: Spec,
         seed: int,
-        make: Callable[["World", types.VmId], Way],
+        make: Callable[["World", types.VmId], RatePolicy],
     ) -> None:
         self.spec = spec
         self.rng = random.Random(seed)
         self.loop = asyncio.get_running_loop()
         self.names = [types.VmId(f"g{n}") for n in range(spec.gateways)]
         self._make = make
-        self.ways: dict[types.VmId, Way] = {}
-        self.at: list[float] = []
+        self.policies: dict[types.VmId, RatePolicy] = {}
+        self.sent_at: list[float] = []
         self.messages = 0
         self._tasks: set[asyncio.Task[Any]] = set()
 
@@ -128,9 +128,9 @@
         self.loop.call_later(delay, self._arrive, me, other, data)
 
     def _arrive(self, me: types.VmId, other: types.VmId, data: bytes) -> None:
-        way = self.ways.get(other)
+        way = self.policies.get(other)
         if way is not None:
-            way.take(data, address.Address(host=me, port=1))
+            way.receive(data, address.Address(host=me, port=1))
 
     def _spawn(self, coro: Any) -> None:
         task = self.loop.create_task(coro)
@@ -139,9 +139,9 @@
 
     async def _request(self, vm: types.VmId) -> None:
         until = self.now() + self.spec.patience
-        while vm in self.ways:
-            if await self.ways[vm].may_send():
-                self.at.append(self.now())
+        while vm in self.policies:
+            if await self.policies[vm].may_send():
+                self.sent_at.append(self.now())
                 return
             if not self.spec.waits or self.now() >= until:
                 return
@@ -151,15 +151,15 @@
         while True:
             await asyncio.sleep(self.rng.expovariate(self.spec.asked))
             vm = self.rng.choice(self.names)
-            if vm in self.ways:
+            if vm in self.policies:
                 self._spawn(self._request(vm))
 
-    async def _tells(self, vm: types.VmId) -> None:
-        await asyncio.sleep(self.rng.random() * _TELL_S)
+    async def _publish_loop(self, vm: types.VmId) -> None:
+        await asyncio.sleep(self.rng.random() * _PUBLISH_INTERVAL_S)
         while True:
-            if vm in self.ways:
-                self.ways[vm].tell()
-            await asyncio.sleep(_TELL_S)
+            if vm in self.policies:
+                self.policies[vm].publish()
+            await asyncio.sleep(_PUBLISH_INTERVAL_S)
 
     async def _restarts(self) -> None:
         while self.spec.restart_each:
@@ -170,40 +170,42 @@
             self._spawn(self._restart(vm))
 
     async def _restart(self, vm: types.VmId) -> None:
-        self.ways.pop(vm, None)
+        self.policies.pop(vm, None)
         await asyncio.sleep(self.spec.down)
-        self.ways[vm] = self._make(self, vm)
+        self.policies[vm] = self._make(self, vm)
 
     async def play(self) -> None:
         """Play it to its end."""
         for vm in self.names:
-            self.ways[vm] = self._make(self, vm)
-            self._spawn(self._tells(vm))
+            self.policies[vm] = self._make(self, vm)
+            self._spawn(self._publish_loop(vm))
         self._spawn(self._requests())
         self._spawn(self._restarts())
         await asyncio.sleep(self.spec.seconds)
         for task in list(self._tasks):
             task.cancel()
 
-    def over(self) -> float:
+    def worst_excess(self) -> float:
         """By how many requests the worst window was over, or below 0."""
-        allowed = _ALLOWED_X * WINDOW_S * self.spec.rate + _ALLOWED_MORE
-        return max(self._windows(), default=0) - allowed
+        allowed = (
+            _ALLOWED_RATE_FACTOR * WINDOW_S * self.spec.rate + _ALLOWED_BURST
+        )
+        return max(self._window_counts(), default=0) - allowed
 
-    def _windows(self) -> Iterator[int]:
+    def _window_counts(self) -> Iterator[int]:
         first = 0
-        for last, at in enumerate(self.at):
-            while self.at[first] <= at - WINDOW_S:
+        for last, at in enumerate(self.sent_at):
+            while self.sent_at[first] <= at - WINDOW_S:
                 first += 1
             yield last - first + 1
 
     @property
-    def used(self) -> float:
+    def utilization(self) -> float:
         """The part of the rate that was used."""
-        return len(self.at) / (self.spec.rate * self.spec.seconds)
+        return len(self.sent_at) / (self.spec.rate * self.spec.seconds)
 
 
-class GrantsWay(Way):
+class GrantsPolicy(RatePolicy):
     """The product's own: grants of one owner."""
 
     def __init__(self, *, world: World, vm: types.VmId) -> None:
@@ -218,8 +220,8 @@
             world.now(),
         )
         self._loads = endpoint_load.LoadTable(on_change=lambda: None)
-        self._number = 0
-        self._life = world.rng.getrandbits(32)
+        self._sequence = 0
+        self._incarnation = world.rng.getrandbits(32)
         self._grants = rate_grants.RateGrants(
             vm=vm,
             eligible=self._eligible,
@@ -252,7 +254,7 @@
             return False
         return True
 
-    def take(self, data: bytes, sender: address.Address) -> None:
+    def receive(self, data: bytes, sender: address.Address) -> None:
         """A figure of another gateway, or a message on a grant."""
         msg = _DECODER.decode(data)
         if isinstance(msg, messages.GatewayLoad):
@@ -261,14 +263,14 @@
         else:
             self._grants.receive(msg, sender)
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         """Tell the others that this one is there."""
-        self._number += 1
+        self._sequence += 1
         msg = messages.GatewayLoad(
             vm=self._vm,
             load_address=f"{self._vm}:1",
-            incarnation=self._life,
-            sequence=self._number,
+            incarnation=self._incarnation,
+            sequence=self._sequence,
             loads={},
         )
         data = codec.encode(msg)
@@ -279,14 +281,14 @@
         self._world.messages -= len(self._world.names) - 1
 
 
-def _grants(world: World, vm: types.VmId) -> Way:
-    return GrantsWay(world=world, vm=vm)
+def _grants(world: World, vm: types.VmId) -> RatePolicy:
+    return GrantsPolicy(world=world, vm=vm)
 
 
 def play(
     spec: Spec,
     seed: int,
-    make: Callable[[World, types.VmId], Way] = _grants,
+    make: Callable[[World, types.VmId], RatePolicy] = _grants,
 ) -> World:
     """Play a site to its end; the product's own way unless told."""
 
--- a/rackpost/testing/site.py
+++ b/rackpost/testing/site.py
@@ -29,12 +29,12 @@
     inside_s: float = 0.0001
     between_s: float = 0.0005
 
-    def of(self, one: str, two: str) -> float:
+    def between(self, one: str, two: str) -> float:
         """The delay between two data centres."""
         return self.inside_s if one == two else self.between_s
 
 
-class Place(NamedTuple):
+class EndpointConfig(NamedTuple):
     """One endpoint of the site, and where it stands."""
 
     name: str
@@ -49,11 +49,11 @@
     def __init__(
         self,
         *,
-        place: Place,
+        config: EndpointConfig,
         engine: engine_mod.Engine,
         agent: agent_core.Agent,
     ) -> None:
-        self.place = place
+        self.config = config
         self.engine = engine
         self.agent = agent
         self.task = asyncio.create_task(agent.run())
@@ -65,12 +65,12 @@
         self.agent.close()
 
 
-BookMaker = Callable[
+LedgerFactory = Callable[
     [reservations_mod.EndpointSpec], reservations_mod.EndpointLedger
 ]
 
 
-def promise_book(
+def make_reservation_ledger(
     spec: reservations_mod.EndpointSpec,
 ) -> reservations_mod.EndpointLedger:
     """The product's book."""
@@ -86,7 +86,7 @@
         delays: Delays,
         seed: int,
         engine_spec: engine.EngineSpec,
-        make_book: BookMaker = promise_book,
+        make_ledger: LedgerFactory = make_reservation_ledger,
         claims: claims_mod.Claims | None = None,
         lease_s: float = agent_core.LEASE_S,
     ) -> None:
@@ -98,7 +98,7 @@
         self.entries: list[entry_core.Entry] = []
         self.events: list[declared_events.DeclaredEvent] = []
         self._seed = seed
-        self._make_book = make_book
+        self._make_ledger = make_ledger
         self._claims = claims
         self._lease_s = lease_s
 
@@ -106,46 +106,46 @@
         """A generator of its own for a part of the site."""
         return random.Random(f"{self._seed}/{name}")
 
-    def add_endpoint(self, place: Place) -> Node:
+    def add_endpoint(self, config: EndpointConfig) -> Node:
         """Set up an endpoint and its agent, linked to every entry."""
-        found = self._make_engine(place)
+        found = self._make_engine(config)
         agent = agent_core.Agent(
             cfg=agent_core.AgentConfig(
-                agent=types.AgentId(place.name),
-                service=place.service,
-                data_centre=place.data_centre,
+                agent=types.AgentId(config.name),
+                service=config.service,
+                data_centre=config.data_centre,
                 lease_s=self._lease_s,
             ),
             engine=found,
-            ledger=self._make_book(self.spec_of(place)),
+            ledger=self._make_ledger(self.spec_of(config)),
         )
-        node = Node(place=place, engine=found, agent=agent)
-        self.nodes[place.name] = node
+        node = Node(config=config, engine=found, agent=agent)
+        self.nodes[config.name] = node
         for entry in self.entries:
             self._link(entry, node)
         return node
 
-    def _make_engine(self, place: Place) -> engine_mod.Engine:
-        rng = self.rng(place.name)
-        if place.role is types.Role.PLAIN:
+    def _make_engine(self, config: EndpointConfig) -> engine_mod.Engine:
+        rng = self.rng(config.name)
+        if config.role is types.Role.PLAIN:
             return plain.StandInPlain(ledger=self.ledger)
         return engine.StandInEngine(
-            name=place.name,
+            name=config.name,
             spec=self.engine_spec,
             peers=self.engines,
             rng=rng,
             ledger=self.ledger,
         )
 
-    def spec_of(self, place: Place) -> reservations_mod.EndpointSpec:
+    def spec_of(self, config: EndpointConfig) -> reservations_mod.EndpointSpec:
         """What the operator states of an endpoint."""
         spec = self.engine_spec
-        if place.role is types.Role.PLAIN:
+        if config.role is types.Role.PLAIN:
             return reservations_mod.EndpointSpec(
-                role=place.role, slots=plain.SLOTS, step_s=plain.CALL_S
+                role=config.role, slots=plain.SLOTS, step_s=plain.CALL_S
             )
         return reservations_mod.EndpointSpec(
-            role=place.role,
+            role=config.role,
             slots=spec.slots,
             prefill_tokens_s=spec.prefill_tokens_s,
             prefill_base_s=spec.prefill_base_s,
@@ -180,8 +180,8 @@
         return entry
 
     def _link(self, entry: entry_core.Entry, node: Node) -> None:
-        place = node.place
-        delay = self.delays.of(entry.cfg.data_centre, place.data_centre)
+        place = node.config
+        delay = self.delays.between(entry.cfg.data_centre, place.data_centre)
         here, there = channel.local_pair(delay_s=delay)
         node.links.append(there)
         node.agent.connect(there)
--- a/rackpost/testing/workload.py
+++ b/rackpost/testing/workload.py
@@ -59,13 +59,13 @@
     plain: str
     plains: int
     kinds: tuple[Kind, ...]
-    rush: str
+    burst_kind: str
 
 
 _SINGLE = types.RepeatClass.SINGLE
 _ONCE = types.RepeatClass.ONCE
 
-FJORDVIK = Deployment(
+SHORT_PROMPTS = Deployment(
     name="fjordvik",
     data_centres=("hall-nord", "hall-sor", "hall-havn"),
     between_s=0.0005,
@@ -89,10 +89,10 @@
             method="POST",
         ),
     ),
-    rush="dispatch",
+    burst_kind="dispatch",
 )
 
-PENTAGRAMA = Deployment(
+MIXED_PROMPTS = Deployment(
     name="pentagrama",
     data_centres=("gdl-a", "gdl-b", "gdl-c"),
     between_s=0.0012,
@@ -108,10 +108,10 @@
         Kind("markup", "partitura-lm", 0.4, (300, 900), 40, 2.0, 0.59),
         Kind("preview", "atril-app", 0.4, ttft_s=0.3),
     ),
-    rush="markup",
+    burst_kind="markup",
 )
 
-DEPLOYMENTS = {item.name: item for item in (FJORDVIK, PENTAGRAMA)}
+DEPLOYMENTS = {item.name: item for item in (SHORT_PROMPTS, MIXED_PROMPTS)}
 
 # Every prompt begins with the kind's own instructions, then with what a
 # group of callers shares.
@@ -176,14 +176,14 @@
     rate: float,
     seconds: float,
     seed: int,
-    rush_at: float | None = None,
-    rush_s: float = 5.0,
-    rush_rate: float = 0.0,
+    burst_at: float | None = None,
+    burst_s: float = 5.0,
+    burst_rate: float = 0.0,
 ) -> list[Offer]:
     """An open-loop schedule: Poisson arrivals, the same for each seed.
 
-    From `rush_at` on, `rush_rate` more requests a second of the
-    deployment's rush kind come for `rush_s`, most of them at first.
+    From `burst_at` on, `burst_rate` more requests a second of the
+    deployment's rush kind come for `burst_s`, most of them at first.
     """
     rng = random.Random(f"{deployment.name}/{seed}")
     weights = [kind.share for kind in deployment.kinds]
@@ -193,11 +193,13 @@
         kind = rng.choices(deployment.kinds, weights)[0]
         offers.append(make_offer(kind, at, len(offers), rng))
         at += rng.expovariate(rate)
-    if rush_at is not None and rush_rate > 0.0:
-        kind = next(k for k in deployment.kinds if k.name == deployment.rush)
-        for _ in range(round(rush_rate * rush_s)):
+    if burst_at is not None and burst_rate > 0.0:
+        kind = next(
+            k for k in deployment.kinds if k.name == deployment.burst_kind
+        )
+        for _ in range(round(burst_rate * burst_s)):
             # They come together: a third within a tenth of the time.
-            at = rush_at + rush_s * rng.random() ** 2
+            at = burst_at + burst_s * rng.random() ** 2
             offers.append(make_offer(kind, at, len(offers), rng))
     return sorted(offers, key=lambda offer: offer.at)
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -46,10 +46,14 @@
     )
     roles = [PREFILL] * prefills + [DECODE] * decodes
     for idx, role in enumerate(roles):
-        site.add_endpoint(site_mod.Place(f"t{idx}", SERVICE, role, HALL))
+        site.add_endpoint(
+            site_mod.EndpointConfig(f"t{idx}", SERVICE, role, HALL)
+        )
     for idx in range(plains):
         site.add_endpoint(
-            site_mod.Place(f"p{idx}", REGISTER, types.Role.PLAIN, HALL)
+            site_mod.EndpointConfig(
+                f"p{idx}", REGISTER, types.Role.PLAIN, HALL
+            )
         )
     site.add_entry("e0", HALL)
     return site
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -120,7 +120,7 @@
         kept = claims.LocalClaims()
         site = driver.small_site(claims=kept)
         await asyncio.sleep(0.1)
-        kept.away = True
+        kept.unreachable = True
         got = await driver.take(
             site.entries[0], driver.ask("a", repeat=ONCE, claim="deed")
         )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -147,8 +147,8 @@
         running = asyncio.create_task(client.run())
         await asyncio.sleep(0.5)
         assert client.ready.is_set()
-        group.silence(old)
-        new = await group.await_leader(but=old)
+        group.isolate(old)
+        new = await group.await_leader(exclude=old)
         await asyncio.sleep(0.05)
         result = await group.up[new].node.commit(write("a"))
         assert isinstance(result, commands.Accepted)
@@ -160,7 +160,7 @@
         assert client.in_force.revision >= result.revision
         assert not await group.up[old].node.confirm_read()
         assert not group.up[old].node.in_quorum_contact()
-        group.hear(old)
+        group.reconnect(old)
         await asyncio.sleep(2.0)
         assert group.up[old].node.machine.revision >= result.revision
         running.cancel()
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -3,9 +3,9 @@
 from lab import history
 from lab import linear
 
-W = linear.Wrote
-R = linear.Read
-C = linear.Claimed
+W = linear.WriteRecord
+R = linear.ReadRecord
+C = linear.ClaimRecord
 
 
 def test_a_good_history_is_passed() -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -35,7 +35,7 @@
     @property
     def in_time_share(self) -> float:
         """Of those who asked, the part that was answered in time."""
-        return self.in_time / self.asked
+        return self.in_time / self.requests
 
     @property
     def messages_a_second(self) -> float:
@@ -45,7 +45,7 @@
 
 @pytest.fixture(scope="module")
 def crowd() -> Mean:
-    return Mean(told_s=load_exchange.batching_delay_s(68))
+    return Mean(report_delay_s=load_exchange.batching_delay_s(68))
 
 
 def test_a_crowd_is_answered_in_time(crowd: Mean) -> None:
@@ -61,14 +61,14 @@
     crowd: Mean, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(kv_forecast, "_CERTAINTY", 0.0)
-    without = Mean(told_s=load_exchange.batching_delay_s(68))
+    without = Mean(report_delay_s=load_exchange.batching_delay_s(68))
     assert crowd.preempted < 0.7 * without.preempted
     assert crowd.long_pause < 0.7 * without.long_pause
 
 
 def test_figures_are_told_while_they_matter(crowd: Mean) -> None:
     """Gathered for 54 ms, two gateways took the same room too often."""
-    late = Mean(told_s=0.054)
+    late = Mean(report_delay_s=0.054)
     assert crowd.long_pause < late.long_pause
     # Each has few generations, so that this costs few messages.
     assert crowd.messages_a_second < 3.0
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -310,27 +310,29 @@
 ) -> None:
     """Six times its quota, over all gateways, for 20 seconds."""
     for seed in range(3):
-        play = quota_ways.Play(way="buckets", gateways=gateways, seed=seed)
+        play = quota_ways.Simulation(
+            policy="buckets", gateways=gateways, seed=seed
+        )
         outcome = play.run(load=12.0, fault=fault)
-        assert outcome.part <= 1.0
+        assert outcome.promise_fraction <= 1.0
         if fault != "cut":
-            assert outcome.passed > 29_000
+            assert outcome.admitted > 29_000
 
 
 @pytest.mark.parametrize("fault", ["none", "lossy", "restarts", "all"])
 def test_usual_load_is_admitted(fault: str) -> None:
     """A little over half of the rate, at random times and gateways."""
     for seed in range(3):
-        play = quota_ways.Play(way="buckets", gateways=21, seed=seed)
+        play = quota_ways.Simulation(policy="buckets", gateways=21, seed=seed)
         outcome = play.run(load=1.1, fault=fault)
-        assert outcome.passed > 0.85 * outcome.asked
+        assert outcome.admitted > 0.85 * outcome.requested
 
 
 def test_equal_shares_refuse_usual_load() -> None:
     """The reason not to divide quotas: see docs/design/quotas.md."""
-    play = quota_ways.Play(way="parts", gateways=21, seed=1)
+    play = quota_ways.Simulation(policy="parts", gateways=21, seed=1)
     outcome = play.run(load=1.1, fault="none")
-    assert outcome.passed < 0.85 * outcome.asked
+    assert outcome.admitted < 0.85 * outcome.requested
 
 
 @hypothesis.given(
@@ -347,27 +349,27 @@
     steps: list[tuple[str, int, float]],
 ) -> None:
     """Each report arrives before the next request."""
-    play = quota_ways.Play(way="buckets", gateways=5, seed=1)
+    play = quota_ways.Simulation(policy="buckets", gateways=5, seed=1)
     world = play.world
     assert world is not None
     for kind, at, seconds in steps:
         if kind == "ask":
-            if world.ask(at, _STREAM):
-                world.tell(at)
-                world.step(quota_world.TOLD_S)
+            if world.submit(at, _STREAM):
+                world.publish(at)
+                world.step(quota_world.REPORT_DELAY_S)
         elif kind == "tell":
-            world.tell(at)
+            world.publish(at)
         elif kind == "restart":
             world.restart(at)
         elif kind == "cut":
             world.cut = not world.cut
         world.step(seconds)
-    assert world.most_in_a_window() <= quota_world.MOST
+    assert world.max_units_in_window() <= quota_world.MAX_UNITS_PER_WINDOW
 
 
 def test_sent_units_leave_the_window_and_waiting_ones_do_not() -> None:
     """For the windows that buckets are compared with."""
-    spent = quota_windows.Spent(window_s=8.0)
+    spent = quota_windows.WindowUsage(window_s=8.0)
     spent.reserve(_NORD, 10)
     assert spent.of(_NORD, 20.0) == 10
     spent.sent(_NORD, 10, 20.0)
@@ -381,7 +383,7 @@
 
 def test_the_simulation_is_deterministic() -> None:
     outcomes = [
-        quota_ways.Play(way="figures", gateways=5, seed=2).run(
+        quota_ways.Simulation(policy="figures", gateways=5, seed=2).run(
             load=12.0, fault="all"
         )
         for _ in range(2)
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -228,8 +228,8 @@
 ) -> None:
     spec = rate_world.Spec(gateways=gateways, waits=waits, seconds=12.0)
     world = rate_world.play(spec, 1)
-    assert world.over() < 0
-    assert 0.8 < world.used <= 1.1
+    assert world.worst_excess() < 0
+    assert 0.8 < world.utilization <= 1.1
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -245,8 +245,8 @@
         gateways=9, waits=True, seconds=14.0, **fault  # type: ignore
     )
     world = rate_world.play(spec, seed)
-    assert world.over() < 0
-    assert world.used > 0.2
+    assert world.worst_excess() < 0
+    assert world.utilization > 0.2
 
 
 def test_messages_of_a_gateway_do_not_grow_with_the_fleet() -> None:
