--- a/lab/quota_ways.py
+++ b/lab/quota_ways.py
@@ -1,9 +1,9 @@
-"""Ways to keep quotas over all gateways, compared: python -m lab.quota_ways.
+"""Compares quota policies over all gateways: python -m lab.quota_ways.
 
-Prints, for each way, load and fault, the largest part of the site's promise
-that passed in a window, how often it was broken, what passed of what was
-asked, and messages and bytes a second of a gateway.  The ways that are not
-built into gateways stand here.
+Prints, for each policy, load and fault, the requested and admitted units as
+multiples of the rate, the largest fraction of the site's promise that was
+admitted in a window, how often it was exceeded, and messages and bytes a
+second of a gateway.
 """
 
 import random
@@ -24,22 +24,22 @@
 }
 _SECONDS = 20.0
 _SEEDS = range(10)
-# Generations a second: half the rate, a little above it, six times of it.
+# Generations a second: about 0.5, 1.1 and 6 times the rate.
 _LOADS = (1.1, 2.2, 12.0)
 _FAULTS = ("none", "lossy", "restarts", "cut", "all")
 _SIZES = (21, 70)
-# From the loss of all power to the first request that is served, in seconds.
+# From a loss of power to the first request that is served.
 _DOWN_S = 0.6
-# What a lease holds at least: a request asks for itself and no more, since
-# what lies at gateways that are asked for nothing is lost to the others.
+# Units; 0 leases what a request needs, since idle leases are of no use to
+# other gateways.
 _MIN_LEASE = 0
 
-# A question or an answer of a lease, as it would be encoded.
+# Encoded size of a lease request or reply.
 _LEASE_BYTES = 30
 
 
 class Owner:
-    """Who gives one organisation's quota away: a bucket, and its leases."""
+    """The owner of an organisation's quota, which grants leases from it."""
 
     def __init__(self) -> None:
         self.at = 0
@@ -48,30 +48,30 @@
         self.restart(-100.0)
 
     def restart(self, now: float) -> None:
-        """It has started, and does not know what was leased before."""
+        """Restart with an empty bucket, without knowledge of old leases."""
         self._level = 0.0
         self._now = now
 
     def lease(self, wanted: int, now: float) -> int:
-        """So much, or nothing."""
+        """Return the units leased: at least `wanted`, or 0."""
         limit = quota_world.QUOTA
         terms = quota_world.TERMS
         size = terms.bound(limit) - limit.rate_per_s * terms.window_s
         self._level += limit.rate_per_s * max(0.0, now - self._now)
         self._level = min(self._level, size)
         self._now = max(now, self._now)
-        given = min(self._level, max(wanted, _MIN_LEASE))
-        if given < wanted:
+        granted = min(self._level, max(wanted, _MIN_LEASE))
+        if granted < wanted:
             return 0
-        self._level -= given
-        return int(given)
+        self._level -= granted
+        return int(granted)
 
 
 class OwnerLeases(quota_windows.WindowQuotas):
-    """One gateway owns an organisation and leases parts of its quota.
+    """One gateway owns an organisation's quota and leases parts of it.
 
-    What is leased counts as spent when it is given.  Without the owner a
-    gateway lives on what it holds.
+    Leased units count as spent.  A gateway that cannot reach the owner uses
+    the units that it still holds.
     """
 
     def __init__(self, *, began: float, me: int, world: "Simulation") -> None:
@@ -85,7 +85,7 @@
     def check(
         self, item: model.Organisation, wanted: int, now: float
     ) -> quota.OverQuota | None:
-        """None where enough is held, or the owner has it."""
+        """Return None if enough units are held or can be leased."""
         if self._leased < wanted and self._world.reaches_owner(self._me):
             self._world.lease_messages += 2
             self._leased += self._world.owner.lease(wanted, now)
@@ -96,12 +96,12 @@
     def admit(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """It is taken from the lease."""
+        """Take the units from the lease."""
         self._leased -= units
 
 
 class Simulation:
-    """One way under one load and fault."""
+    """A simulation of one policy under one load and fault."""
 
     def __init__(self, *, policy: str, gateways: int, seed: int) -> None:
         self._policy = policy
@@ -124,12 +124,12 @@
         )
 
     def reaches_owner(self, me: int) -> bool:
-        """Whether a gateway's word comes to the owner."""
+        """Whether a gateway can reach the owner."""
         world = self.world
         return world is None or not world.are_apart(me, self.owner.at)
 
     def run(self, *, load: float, fault: str) -> "Outcome":
-        """Play it to its end."""
+        """Run the simulation; return its outcome."""
         world = self.world
         assert world is not None
         loss = 0.1 if fault == "lossy" else 0.01
@@ -162,7 +162,7 @@
 
 
 class Outcome(NamedTuple):
-    """What came of a play; all but `promise_fraction` are a second."""
+    """The results of a simulation; all but `promise_fraction` per second."""
 
     promise_fraction: float
     admitted: float
@@ -171,9 +171,9 @@
     bytes: float
 
 
-def _print(way: str, gateways: int, load: float, fault: str) -> None:
+def _print(policy: str, gateways: int, load: float, fault: str) -> None:
     found = [
-        Simulation(policy=way, gateways=gateways, seed=seed).run(
+        Simulation(policy=policy, gateways=gateways, seed=seed).run(
             load=load, fault=fault
         )
         for seed in _SEEDS
@@ -182,24 +182,25 @@
     broken = sum(item.promise_fraction > 1.0 for item in found)
     mean = [statistics.mean(column) for column in zip(*found)]
     print(
-        f"| {way} | {gateways} | {mean[2] / rate:.2f} | {fault} "
-        f"| {mean[1] / rate:.2f} | {max(item.promise_fraction for item in found):.2f} "
+        f"| {policy} | {gateways} | {mean[2] / rate:.2f} | {fault} "
+        f"| {mean[1] / rate:.2f} "
+        f"| {max(item.promise_fraction for item in found):.2f} "
         f"| {broken} of {len(found)} | {mean[3]:.1f} | {mean[4]:.0f} |"
     )
 
 
 def main() -> None:
-    """Compare and print."""
+    """Run all simulations and print the table."""
     print(
-        "| way | gateways | asked | fault | passed | most | broken "
+        "| policy | gateways | requested | fault | admitted | max | broken "
         "| messages | bytes |"
     )
     print("| --- " * 9 + "|")
     for gateways in _SIZES:
         for load in _LOADS:
             for fault in _FAULTS:
-                for way in (*_POLICIES, "leases"):
-                    _print(way, gateways, load, fault)
+                for policy in (*_POLICIES, "leases"):
+                    _print(policy, gateways, load, fault)
 
 
 if __name__ == "__main__":
--- a/rackpost/testing/claims.py
+++ b/rackpost/testing/claims.py
@@ -1,4 +1,4 @@
-"""Claims kept in this event loop, by the product's own table."""
+"""Claims that are kept in this event loop, in the production claim table."""
 
 import asyncio
 
@@ -12,14 +12,14 @@
 
 
 class LocalClaims(claims.Claims):
-    """The claim table behind a delay, as control would answer."""
+    """A claim table behind a delay, in place of a control client."""
 
     def __init__(self, *, delay_s: float = 0.003) -> None:
         self.table = table.ClaimTable()
         self.unreachable = False
         self._delay_s = delay_s
 
-    async def _trip(self) -> None:
+    async def _round_trip(self) -> None:
         await asyncio.sleep(self._delay_s)
         if self.unreachable:
             raise exceptions.ControlError("control is away")
@@ -28,8 +28,8 @@
         self, *, key: types.ClaimKey, holder: claims.Holder
     ) -> claims.ClaimReply:
         """Claim the key in the table."""
-        await self._trip()
-        asked = commands.ClaimOne(
+        await self._round_trip()
+        command = commands.ClaimOne(
             key=key,
             agent=holder.agent,
             incarnation=holder.incarnation,
@@ -37,7 +37,7 @@
             attempt=holder.attempt,
         )
         now = asyncio.get_running_loop().time()
-        state, held = self.table.claim(asked, at=now, keep_s=_KEEP_S)
+        state, held = self.table.claim(command, at=now, keep_s=_KEEP_S)
         found = None
         if held is not None:
             found = claims.Holder(
@@ -53,7 +53,7 @@
         state: claims.ClaimState | None,
     ) -> None:
         """Settle the claim in the table."""
-        await self._trip()
+        await self._round_trip()
         now = asyncio.get_running_loop().time()
         word = "sealed" if state is None else state.value
         item = commands.SettleOne(
--- a/rackpost/testing/cluster.py
+++ b/rackpost/testing/cluster.py
@@ -1,4 +1,4 @@
-"""Control replicas in one event loop, with disks and links that fail."""
+"""Control replicas in one event loop, with simulated disks and links."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class MemoryDisk(storage.Disk):
-    """A disk that keeps what was synced and loses the rest in a crash."""
+    """A disk that loses unsynced data in a crash."""
 
     def __init__(self, *, identity: storage.Identity) -> None:
         self._identity = identity
@@ -33,7 +33,7 @@
         self.generation = 0
 
     def load(self) -> storage.StoredState:
-        """What a restarted replica finds."""
+        """Return the state that a restarted replica loads."""
         snapshot = consensus.Snapshot(
             index=consensus.Index(0),
             term=consensus.Term(0),
@@ -51,7 +51,7 @@
         return storage.StoredState(identity=self._identity, hard=hard, log=log)
 
     async def save(self, out: output.Output) -> None:
-        """Sync an output; one that a crash cuts short is lost."""
+        """Sync an output; a crash before the end of the sync loses it."""
         batch = storage.batch_of(out)
         if batch is None:
             return
@@ -67,7 +67,7 @@
         hard: consensus.HardState,
         log: log_mod.Log,
     ) -> None:
-        """Put a snapshot and what follows in place of all."""
+        """Replace the stored state by a snapshot and the log after it."""
         rest = storage.Batch(
             hard=hard, entries=log.upto(snapshot.index, 1 << 60)
         )
@@ -81,7 +81,7 @@
 
 
 class _Running:
-    """A replica that is up."""
+    """A running replica."""
 
     def __init__(
         self, *, node: node_mod.Node, service: service_mod.Service
@@ -96,7 +96,7 @@
 
 
 class Cluster:
-    """Replicas by name, and clients that reach them."""
+    """Control replicas by name, with their links and clients."""
 
     def __init__(
         self, *, names: tuple[str, ...], seed: int, compact_at: int = 4096
@@ -122,7 +122,7 @@
         self.disks[name] = MemoryDisk(identity=identity)
 
     def start(self, name: str) -> None:
-        """Start a replica from its disk, linked to all that are up."""
+        """Start a replica from its disk and link it to all running ones."""
         disk = self.disks[name]
         node = node_mod.Node(
             loaded=disk.load(),
@@ -146,7 +146,7 @@
         self.up[two].node.connect(consensus.ReplicaId(one), there)
 
     def kill(self, name: str) -> None:
-        """The process dies: what was not synced is lost."""
+        """Simulate the death of a replica's process."""
         running = self.up.pop(name)
         self.disks[name].generation += 1
         for task in running.tasks:
@@ -160,11 +160,11 @@
                     end.close()
 
     def isolate(self, name: str) -> None:
-        """The VM is cut off in silence: nothing gets in or out."""
+        """Drop all messages from and to a replica."""
         self._set_cut(name, True)
 
     def reconnect(self, name: str) -> None:
-        """The VM is reached again."""
+        """Let messages from and to a replica through again."""
         self._set_cut(name, False)
 
     def _set_cut(self, name: str, cut: bool) -> None:
@@ -184,7 +184,7 @@
                 conn.cut = cut
 
     def leader(self) -> str | None:
-        """The replica that leads with the highest term, if any."""
+        """Return the leader with the highest term, or None."""
         found = [
             (item.node.term, name)
             for name, item in self.up.items()
@@ -202,7 +202,7 @@
 
     @contextlib.asynccontextmanager
     async def connect(self, name: str) -> AsyncIterator[channel.Channel]:
-        """A client's link to a replica."""
+        """Provide a client's link to a replica."""
         running = self.up.get(name)
         if running is None:
             raise exceptions.LinkError(f"{name} is down")
@@ -219,7 +219,7 @@
     def client(
         self, name: str, join: commands.MemberInfo | None = None
     ) -> client_mod.ControlClient:
-        """A process's client, to be run by the caller."""
+        """Return a control client, which the caller must run."""
         return client_mod.ControlClient(
             name=name,
             incarnation=types.Incarnation(1),
@@ -230,6 +230,6 @@
         )
 
     def close(self) -> None:
-        """End everything."""
+        """Stop all replicas."""
         for name in list(self.up):
             self.kill(name)
--- a/rackpost/testing/demo_site.py
+++ b/rackpost/testing/demo_site.py
@@ -1,6 +1,6 @@
-"""A whole site on loopback in one event loop, with stand-in endpoints.
+"""A site on loopback in one event loop, with simulated endpoints.
 
-Unlike `testing.site` everything here talks over real sockets.
+Unlike `testing.site`, all of its parts communicate over real sockets.
 """
 
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class DemoSite:
-    """The addresses and parts of a running site."""
+    """A running site: its processes and their addresses."""
 
     def __init__(self, *, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -82,7 +82,7 @@
         spec: engine.EngineSpec,
         data_centre: str = "here",
     ) -> None:
-        """Start a stand-in endpoint and its agent."""
+        """Start a simulated endpoint and its agent."""
         if role is types.Role.PLAIN:
             app = engine_http.plain_app(plain.StandInPlain(ledger=self.ledger))
             slots = plain.SLOTS
@@ -140,7 +140,7 @@
         based_on: int = 0,
         unset: tuple[str, ...] = (),
     ) -> dict:
-        """Change a node of the settings through any replica that can."""
+        """Change a settings node through any available replica."""
         body = {
             "op": op or secrets.token_hex(8),
             "who": "demo",
@@ -152,7 +152,7 @@
         return await self.operate("/v1/settings", body)
 
     async def operate(self, path: str, body: dict | None) -> dict:
-        """Ask an operators' page; posts `body` unless it is None."""
+        """Request an operators' page: POST `body`, or GET if it is None."""
         headers = {"Authorization": f"Bearer {self.operator_key}"}
         last = {}
         async with aiohttp.ClientSession(headers=headers) as session:
@@ -169,12 +169,12 @@
         return last
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop all processes."""
         await self._stack.aclose()
 
 
 def service_settings(deployment: workload.Deployment) -> dict:
-    """The root's settings for the services and kinds of a deployment."""
+    """Return the root settings for a deployment's services and kinds."""
     values: dict = {
         f"{deployment.model}.type": "model",
         f"{deployment.plain}.type": "plain",
@@ -192,7 +192,7 @@
 
 @contextlib.asynccontextmanager
 async def running(folder: pathlib.Path) -> AsyncIterator[DemoSite]:
-    """An empty site in `folder`, ended on leaving."""
+    """Provide an empty site in `folder` and stop it at the end."""
     site = DemoSite(folder=folder)
     try:
         yield site
--- a/rackpost/testing/engine.py
+++ b/rackpost/testing/engine.py
@@ -1,9 +1,8 @@
-"""A stand-in model engine: slots, prefill, KV transfer, prefix cache.
+"""Simulates a model engine: slots, prefill, KV transfer, prefix cache.
 
-It is no engine: it spends time as one would, and its answers are derived
-from the request, so that a crossed, doubled or cut answer is seen.  One
-engine is one object in one event loop; `testing.engine_http` puts it on
-the network.
+The engine only waits as long as a real one would.  Its answers are derived
+from the request, so that mixed-up, duplicated or truncated answers are
+detected.  `testing.engine_http` serves it over HTTP.
 """
 
 import asyncio
@@ -24,11 +23,9 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """What the stand-in spends: seconds, tokens, bytes.
+    """The simulated engine's speeds and sizes: seconds, tokens, bytes.
 
-    A step takes `step_s` and `step_stream_s` more for each stream, which
-    makes 30 ms at twenty streams; a prefill of 1,500 tokens costs about
-    as much as 6 steps of a full batch, or 120 output tokens.
+    A decode step takes `step_s`, and `step_stream_s` for each stream.
     """
 
     slots: int = 20
@@ -46,21 +43,21 @@
 
 
 class Ledger:
-    """Prefill tokens that all engines of a test have spent."""
+    """Counts the prefilled tokens and the runs of all engines of a test."""
 
     def __init__(self) -> None:
         self.prefilled: dict[slots.AttemptKey, int] = {}
         self.runs: collections.Counter[types.RequestId] = collections.Counter()
 
     def prefilled_for(self, req: types.RequestId) -> list[int]:
-        """Tokens prefilled for a request, by attempt, in their order."""
+        """Return the tokens prefilled for a request, one item an attempt."""
         return [
             tokens for key, tokens in self.prefilled.items() if key.req == req
         ]
 
 
 class _ExportedCache:
-    """A prefill's result, kept for export."""
+    """The KV cache of a prefill, kept until a decode engine imports it."""
 
     def __init__(self, *, key: slots.AttemptKey, size: int) -> None:
         self.key = key
@@ -69,17 +66,17 @@
 
 
 class _Stream:
-    """One request in the batch."""
+    """A request in the batch."""
 
-    def __init__(self, *, key: slots.AttemptKey, pieces: list[str]) -> None:
+    def __init__(self, *, key: slots.AttemptKey, tokens: list[str]) -> None:
         self.key = key
-        self.tokens = pieces
+        self.tokens = tokens
         self.position = 0
         self.out: asyncio.Queue[str | Exception | None] = asyncio.Queue()
 
 
 def prompt_of(body: bytes) -> bytes:
-    """The prompt's text in an OpenAI request body."""
+    """Return the prompt's text in an OpenAI request body."""
     req = msgspec.json.decode(body)
     if "messages" in req:
         parts = [str(msg.get("content", "")) for msg in req["messages"]]
@@ -88,9 +85,9 @@
 
 
 def answer_to(body: bytes) -> list[str]:
-    """The whole answer that any engine gives to a request body.
+    """Return the tokens that every engine generates for a request body.
 
-    Its length is between 0.4 and 1 times the limit that was asked for.
+    Their number is between 0.4 and 1 times the requested limit.
     """
     req = msgspec.json.decode(body)
     limit = int(req.get("max_tokens") or req.get("max_completion_tokens", 16))
@@ -102,7 +99,7 @@
 
 
 class StandInEngine(engine.Engine):
-    """A model engine within this event loop."""
+    """A simulated model engine in this event loop."""
 
     def __init__(
         self,
@@ -140,16 +137,16 @@
         self._cache = prefix.PrefixHints(max_blocks=spec.cache_blocks)
         self._events: list[tuple[float, tuple[types.BlockHash, ...]]] = []
 
-    # What tests and the bench look at, and what they break.
+    # Inspection and faults, for tests and the bench.
 
     def held(self) -> set[types.RequestId]:
-        """The requests for which any memory is held."""
+        """Return the requests that occupy any memory."""
         kept = {item.key.req for item in self._exported.values()}
         taken = {key.req for key in self._occupied}
         return kept | taken | {key.req for key in self._turns}
 
     def kill(self) -> None:
-        """The engine dies: all it holds is lost, calls fail."""
+        """Simulate the engine's death: lose all state and fail all calls."""
         self.dead = True
         error = exceptions.EngineError("engine died")
         for strm in self._active.values():
@@ -169,14 +166,14 @@
     async def prefill(
         self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> engine.PrefillResult:
-        """Wait for the turn, spend the time, keep the result."""
+        """Wait for the prompt's turn, prefill it and keep its KV cache."""
         tokens, cached = await self._prefill(key, body, priority)
         return self._export(key, tokens, cached)
 
     async def warm(
         self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> None:
-        """Wait for the turn and spend the time; keep nothing."""
+        """Prefill a prompt without keeping its KV cache for export."""
         await self._prefill(key, body, priority)
 
     async def _prefill(
@@ -250,7 +247,7 @@
             self._events.append((due, blocks))
 
     async def events(self) -> engine.CacheEvents:
-        """The cache events whose lag has passed; some are missing."""
+        """Return the cache events that are due; some are lost."""
         now = asyncio.get_running_loop().time()
         due = [blocks for at, blocks in self._events if at <= now]
         self._events = [item for item in self._events if item[0] > now]
@@ -297,10 +294,10 @@
         offset: int,
         priority: int,
     ) -> AsyncGenerator[str, None]:
-        """Wait for memory, import the KV cache, stream the answer."""
+        """Wait for a slot, import or compute the KV cache, stream tokens."""
         self._check(ran=False)
         self.ledger.runs[key.req] += 1
-        strm = _Stream(key=key, pieces=answer_to(body))
+        strm = _Stream(key=key, tokens=answer_to(body))
         strm.position = offset
         try:
             await self._acquire_slot(key)
@@ -311,12 +308,12 @@
             self._check(ran=True)
             self._add_to_batch(strm)
             while True:
-                piece = await strm.out.get()
-                if piece is None:
+                token = await strm.out.get()
+                if token is None:
                     return
-                if isinstance(piece, Exception):
-                    raise piece
-                yield piece
+                if isinstance(token, Exception):
+                    raise token
+                yield token
         finally:
             self._release_slot(key)
 
@@ -344,7 +341,7 @@
             self._stepper = asyncio.create_task(self._steps())
 
     def step_s(self) -> float:
-        """How long a step of the present batch takes, in seconds."""
+        """Return the duration of a step of the current batch, in seconds."""
         batch = self.spec.step_stream_s * len(self._active)
         return (self.spec.step_s + batch) * self.slowness
 
@@ -363,7 +360,7 @@
             strm.out.put_nowait(None)
 
     async def abort(self, *, key: slots.AttemptKey) -> None:
-        """Forget a request, wherever it is."""
+        """Abort a request in any state."""
         self._exported.pop(f"{key.req}.{key.attempt}", None)
         strm = self._active.pop(key, None)
         if strm is not None:
@@ -378,7 +375,7 @@
         yield b""  # This makes the function a generator.
 
     def order(self, *, fence: types.Fence, what: str) -> bool:
-        """Take an order; one with an old fence is refused if checked."""
+        """Accept an order, or refuse it if its fence is stale and checked."""
         if self.spec.checks_fence and fence < self.fence:
             return False
         self.fence = max(self.fence, fence)
--- a/rackpost/testing/engine_http.py
+++ b/rackpost/testing/engine_http.py
@@ -1,4 +1,4 @@
-"""The stand-in engine and plain service on the network, over HTTP."""
+"""Serves the simulated engine and plain service over HTTP."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
 from rackpost.testing import plain
 from rackpost import types
 
-# Cache events are numbered; this many are kept for slow readers.
+# Kept for clients that poll rarely.
 _MAX_KEPT_EVENTS = 4096
 
 
@@ -42,7 +42,7 @@
 
 
 class _Stream(responses.StreamingResponse):
-    """Server-sent events whose source is closed when the client goes."""
+    """Server-sent events that close their source on a disconnect."""
 
     def __init__(self, source: AsyncIterator[str]) -> None:
         super().__init__(source, media_type="text/event-stream")
@@ -55,7 +55,7 @@
 
 
 class EngineApp:
-    """The engine's API."""
+    """The HTTP API of a simulated engine."""
 
     def __init__(self, *, standin: engine.StandInEngine) -> None:
         self._engine = standin
@@ -77,14 +77,14 @@
 
     async def _run(self, req: requests.Request) -> responses.Response:
         body = await req.body()
-        asked = json.loads(body)
-        params = asked.get("kv_transfer_params") or {}
+        body_json = json.loads(body)
+        params = body_json.get("kv_transfer_params") or {}
         key = _key_of(req)
-        priority = int(asked.get("priority", 0))
+        priority = int(body_json.get("priority", 0))
         try:
             if params.get("do_remote_decode"):
                 return await self._prefill(key, body, priority)
-            return await self._decode(req, key, body, asked, params)
+            return await self._decode(req, key, body, body_json, params)
         except exceptions.EngineError as exc:
             return _error(exc)
 
@@ -106,22 +106,22 @@
         req: requests.Request,
         key: slots.AttemptKey,
         body: bytes,
-        asked: dict[str, Any],
+        body_json: dict[str, Any],
         params: dict[str, Any],
     ) -> responses.Response:
         offset = int(req.headers.get("last-event-id", 0))
-        pieces = self._engine.decode(
+        tokens = self._engine.decode(
             key=key,
             body=body,
             kv=params if params.get("do_remote_prefill") else None,
             offset=offset,
-            priority=int(asked.get("priority", 0)),
+            priority=int(body_json.get("priority", 0)),
         )
-        chat = "messages" in asked
-        if asked.get("stream"):
-            return _Stream(_events(pieces, offset, chat))
-        async with contextlib.aclosing(pieces):
-            text = "".join([piece async for piece in pieces])
+        chat = "messages" in body_json
+        if body_json.get("stream"):
+            return _Stream(_events(tokens, offset, chat))
+        async with contextlib.aclosing(tokens):
+            text = "".join([token async for token in tokens])
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         choice["message" if chat else "text"] = (
             {"role": "assistant", "content": text} if chat else text
@@ -153,24 +153,25 @@
         return responses.JSONResponse({"last": self._last, "events": found})
 
     async def _order(self, req: requests.Request) -> responses.Response:
-        asked = await req.json()
+        body_json = await req.json()
         taken = self._engine.order(
-            fence=types.Fence(int(asked["fence"])), what=str(asked["what"])
+            fence=types.Fence(int(body_json["fence"])),
+            what=str(body_json["what"]),
         )
         return responses.Response(status_code=200 if taken else 409)
 
 
-async def _events(pieces: Any, offset: int, chat: bool) -> AsyncIterator[str]:
+async def _events(tokens: Any, offset: int, chat: bool) -> AsyncIterator[str]:
     number = offset
-    async with contextlib.aclosing(pieces):
+    async with contextlib.aclosing(tokens):
         try:
-            async for piece in pieces:
+            async for token in tokens:
                 number += 1
                 choice: dict[str, Any] = {"index": 0}
                 if chat:
-                    choice["delta"] = {"content": piece}
+                    choice["delta"] = {"content": token}
                 else:
-                    choice["text"] = piece
+                    choice["text"] = token
                 data = json.dumps({"choices": [choice]})
                 yield f"id: {number}\ndata: {data}\n\n"
         except exceptions.EngineError as exc:
@@ -180,10 +181,10 @@
 
 
 def plain_app(standin: plain.StandInPlain) -> applications.Starlette:
-    """The plain service's API: any method on any path."""
+    """Return the app of a plain service: any method on any path."""
 
     async def run(req: requests.Request) -> responses.Response:
-        pieces = standin.call(
+        source = standin.call(
             key=_key_of(req),
             method=req.method,
             path=req.url.path,
@@ -192,10 +193,10 @@
             body=await req.body(),
         )
         try:
-            parts = [part async for part in pieces]
+            chunks = [chunk async for chunk in source]
         except exceptions.EngineError as exc:
             return _error(exc)
-        body = b"".join(part for part in parts if isinstance(part, bytes))
+        body = b"".join(chunk for chunk in chunks if isinstance(chunk, bytes))
         return responses.Response(body, 200, media_type="text/plain")
 
     methods = ["GET", "POST", "PUT", "PATCH", "DELETE"]
--- a/rackpost/testing/fleet.py
+++ b/rackpost/testing/fleet.py
@@ -1,9 +1,8 @@
-"""A large fleet in virtual time: many gateways, few endpoints, no network.
+"""Simulates many gateways and few endpoints in virtual time.
 
-Gateways are the product's own: its room, choice, forecast and figures of
-each other, which come as late as they are told.  Endpoints are stand-ins
-that hold KV memory, make tokens in step, preempt the newest run when
-memory is out and read it anew between the tokens of the others.
+Gateways use the production admission queue, endpoint choice, forecasts and
+load reports.  Simulated endpoints hold KV memory, decode in batches, preempt
+the newest run when memory is exhausted and prefill it again later.
 """
 
 import asyncio
@@ -31,52 +30,51 @@
 
 SERVICE = types.ServiceName("model")
 _HERE = types.DataCentre("here")
-# How finely the making of tokens is followed, in seconds.
+# Time step of token generation.
 _STEP_S = 0.01
-# Clients leave a stream that has not begun after so many targets.
+# A client leaves after this multiple of the target without a first token.
 _PATIENCE_TARGETS = 4.0
-# An endpoint that decodes reads at half the pace of one that prefills.
+# Prefill time at a decode endpoint over that at a prefill endpoint.
 _IN_PLACE_SLOWDOWN = 2.0
 
 
 class Spec(msgspec.Struct, frozen=True, kw_only=True):
     """A fleet and its load; times in seconds, sizes in tokens.
 
-    The defaults are a model of 120 billion parameters on sixteen small
-    shares of accelerators: nine usual requests fill the memory of one that
-    decodes, for some three seconds.
+    By default, nine typical requests fill the memory of a decode endpoint
+    for about three seconds.
     """
 
     gateways: int = 68
     prefills: int = 4
     decodes: int = 12
-    memory: int = 61640
+    memory_tokens: int = 61640
     slots: int = 32
-    event: int = 64
-    # A token of one of `n` runs takes token_s + n * token_each_s.
+    event_tokens: int = 64
+    # A token takes token_s + n * token_each_s in a batch of `n` runs.
     token_s: float = 0.00058
     token_each_s: float = 0.00002
-    read_s: float = 0.000018
+    prefill_token_s: float = 0.000018
     prompt: float = 5200.0
     prompt_spread: float = 0.5
     answer: float = 4400.0
     answer_spread: float = 0.7
-    most_answer: int = 10880
-    # How far off clients' guesses are; they are right in the median.
+    max_answer: int = 10880
+    # Log-normal spread of clients' length estimates around the true length.
     guess_spread: float = 0.5
     rate: float = 13.0
-    crowd_x: float = 2.3
-    crowd_at: float = 4.0
-    crowd_s: float = 4.0
+    surge_factor: float = 2.3
+    surge_at: float = 4.0
+    surge_s: float = 4.0
     seconds: float = 12.0
     target_s: float = 0.92
-    pause_s: float = 0.3
-    # How old figures of other gateways are when they come.
+    max_pause_s: float = 0.3
+    # Delay of other gateways' load reports.
     report_delay_s: float = 0.013
 
 
 class Outcome(msgspec.Struct, kw_only=True):
-    """What became of the requests."""
+    """The number of requests by outcome, and the cost of the run."""
 
     requests: int = 0
     in_time: int = 0
@@ -85,14 +83,14 @@
     refused: int = 0
     preempted: int = 0
     rejected: int = 0
-    # Tokens that were read or made in vain.
+    # Prefilled or generated tokens that were discarded.
     wasted: int = 0
-    # Tellings that were sent, each to all other gateways.
+    # Load reports; each goes to all other gateways.
     messages: int = 0
 
 
 class _Stream:
-    """A run at an endpoint."""
+    """A generation at an endpoint."""
 
     def __init__(
         self, *, prompt: int, answer: int, progress: kv_forecast.Progress
@@ -109,12 +107,12 @@
 
     @property
     def size(self) -> int:
-        """Tokens that it holds."""
+        """Tokens that occupy KV memory."""
         return self.prompt + int(self.generated)
 
 
 class _DecodeEngine:
-    """An endpoint that decodes."""
+    """A simulated decode endpoint."""
 
     def __init__(self, *, spec: Spec, outcome: Outcome) -> None:
         self._spec = spec
@@ -122,7 +120,7 @@
         self._loop = asyncio.get_running_loop()
         self._runs: list[_Stream] = []
         self._preempted: list[_Stream] = []
-        # Until then it reads a prompt and makes no tokens.
+        # No tokens are generated during a prefill.
         self._prefilling_until = 0.0
 
     @property
@@ -130,33 +128,33 @@
         return sum(item.size for item in self._runs)
 
     def start(self, stream: _Stream) -> bool:
-        """Let a run begin whose prompt has been read; False if full."""
-        if self._used + stream.size > self._spec.memory:
+        """Start a prefilled run; return False if memory is full."""
+        if self._used + stream.size > self._spec.memory_tokens:
             return False
         stream.last_at = self._loop.time()
         self._runs.append(stream)
         return True
 
     async def run(self) -> None:
-        """Make tokens until cancelled."""
+        """Generate tokens until cancelled."""
         while True:
             await asyncio.sleep(_STEP_S)
             now = self._loop.time()
             self._resume_preempted(now)
             if now >= self._prefilling_until:
                 self._generate(now)
-            self._preempt_newest()
+            self._preempt_until_fits()
 
     def _resume_preempted(self, now: float) -> None:
-        """Read a run that was preempted anew, if there is room."""
+        """Prefill a preempted run again if there is memory for it."""
         if not self._preempted or now < self._prefilling_until:
             return
         first = self._preempted[0]
-        if self._used + first.size > 0.98 * self._spec.memory:
+        if self._used + first.size > 0.98 * self._spec.memory_tokens:
             return
         self._preempted.pop(0)
         self._runs.append(first)
-        took = first.size * self._spec.read_s * _IN_PLACE_SLOWDOWN
+        took = first.size * self._spec.prefill_token_s * _IN_PLACE_SLOWDOWN
         self._prefilling_until = now + took
 
     def _generate(self, now: float) -> None:
@@ -166,7 +164,10 @@
         for stream in list(self._runs):
             stream.generated += _STEP_S / token_s
             ended = stream.generated >= stream.answer
-            if ended or stream.generated >= (stream.events + 1) * spec.event:
+            if (
+                ended
+                or stream.generated >= (stream.events + 1) * spec.event_tokens
+            ):
                 self._record_event(stream, now)
             if ended:
                 self._runs.remove(stream)
@@ -182,8 +183,8 @@
         stream.last_at = now
         stream.progress.record_event()
 
-    def _preempt_newest(self) -> None:
-        while self._used > self._spec.memory:
+    def _preempt_until_fits(self) -> None:
+        while self._used > self._spec.memory_tokens:
             newest = self._runs.pop()
             self._preempted.append(newest)
             self._outcome.preempted += 1
@@ -191,7 +192,7 @@
 
 
 class _PrefillEngine:
-    """An endpoint that prefills, one prompt after the other."""
+    """A simulated prefill endpoint, which prefills prompts in sequence."""
 
     def __init__(self, *, spec: Spec) -> None:
         self._spec = spec
@@ -199,15 +200,17 @@
         self._free_at = 0.0
 
     async def prefill(self, prompt: int) -> float:
-        """Read a prompt; how long that took, in seconds."""
+        """Prefill a prompt; return the seconds that this took."""
         now = self._loop.time()
-        self._free_at = max(now, self._free_at) + prompt * self._spec.read_s
+        self._free_at = (
+            max(now, self._free_at) + prompt * self._spec.prefill_token_s
+        )
         await asyncio.sleep(self._free_at - now)
         return self._free_at - now
 
 
 class _Gateway:
-    """The decisions of one gateway."""
+    """One gateway's production queue, choice and load table."""
 
     def __init__(self, *, number: int, spec: Spec) -> None:
         self.vm = types.VmId(f"g{number}")
@@ -246,15 +249,15 @@
             capacity_changed=self.capacity_changed,
             on_waiters_changed=self.load_changed.set,
         )
-        # As after a while of serving.
-        self.token_timing.record_prefill(1000, 1000 * spec.read_s)
-        made_s = spec.token_s + 8 * spec.token_each_s
-        self.token_timing.record_decode(4000, 4000 * made_s)
+        # Timings of a gateway that has served for some time.
+        self.token_timing.record_prefill(1000, 1000 * spec.prefill_token_s)
+        token_s = spec.token_s + 8 * spec.token_each_s
+        self.token_timing.record_decode(4000, 4000 * token_s)
 
     def reported_loads(
         self,
     ) -> dict[types.EndpointId, endpoint_load.EndpointLoad]:
-        """Its figures, as they are told."""
+        """Return a copy of this gateway's loads, to publish."""
         return {
             key: endpoint_load.EndpointLoad(
                 requests=use.requests,
@@ -289,7 +292,7 @@
 
 
 def _size(rng: random.Random, mean: float, spread: float) -> float:
-    """A size of a log-normal distribution of this mean and spread."""
+    """Return a sample of a log-normal distribution."""
     variance = math.log(1.0 + spread * spread)
     return rng.lognormvariate(
         math.log(mean) - variance / 2.0, math.sqrt(variance)
@@ -297,7 +300,7 @@
 
 
 class Fleet:
-    """Gateways and endpoints that serve a load."""
+    """Simulated gateways and endpoints that serve a load."""
 
     def __init__(self, *, spec: Spec, seed: int) -> None:
         self._spec = spec
@@ -320,7 +323,7 @@
         }
 
     async def serve(self) -> Outcome:
-        """Serve the whole load."""
+        """Serve the whole load; return the outcome."""
         async with self._running(), asyncio.TaskGroup() as group:
             end = self._loop.time() + self._spec.seconds
             while (now := self._loop.time()) < end:
@@ -331,9 +334,9 @@
 
     def _rate(self, now: float) -> float:
         spec = self._spec
-        since = now - spec.crowd_at
-        crowd = 0.0 <= since < spec.crowd_s
-        return spec.rate * (spec.crowd_x if crowd else 1.0)
+        since = now - spec.surge_at
+        surge = 0.0 <= since < spec.surge_s
+        return spec.rate * (spec.surge_factor if surge else 1.0)
 
     @contextlib.asynccontextmanager
     async def _running(self) -> AsyncIterator[None]:
@@ -344,7 +347,7 @@
         for gateway in self._gateways:
             tasks.append(asyncio.create_task(gateway.admission_queue.run()))
             tasks.append(asyncio.create_task(self._publish_loop(gateway)))
-        # All know of each other before anybody asks.
+        # All gateways have a first report before requests arrive.
         for gateway in self._gateways:
             self._publish(gateway)
         try:
@@ -383,11 +386,11 @@
         gateway = rng.choice(self._gateways)
         prompt = int(_size(rng, spec.prompt, spec.prompt_spread))
         answer = min(
-            spec.most_answer,
+            spec.max_answer,
             1 + int(_size(rng, spec.answer, spec.answer_spread)),
         )
         off = rng.lognormvariate(0.0, spec.guess_spread)
-        guess = min(spec.most_answer, int(answer * off))
+        guess = min(spec.max_answer, int(answer * off))
         began = self._loop.time()
         while not await self._attempt(gateway, prompt, answer, guess, began):
             self.outcome.rejected += 1
@@ -400,48 +403,48 @@
         guess: int,
         began: float,
     ) -> bool:
-        """One attempt; False if the endpoint had no room for it."""
+        """Make one attempt; return False if the endpoint rejects it."""
         spec = self._spec
         progress = kv_forecast.Progress(
             prompt=prompt,
-            guess=gateway.lengths.expected(guess, spec.most_answer),
-            max_tokens=spec.most_answer,
-            event_tokens=spec.event,
+            guess=gateway.lengths.expected(guess, spec.max_answer),
+            max_tokens=spec.max_answer,
+            event_tokens=spec.event_tokens,
             spread=gateway.lengths.spread,
         )
-        place = await gateway.admission_queue.reserve(
+        reservation = await gateway.admission_queue.reserve(
             _reservation_request(
                 spec, gateway.token_timing, progress.run, began
             )
         )
-        if isinstance(place, reservation_mod.NoCapacity):
+        if isinstance(reservation, reservation_mod.NoCapacity):
             self.outcome.refused += 1
             return True
         try:
-            if place.prefill_endpoint is not None:
+            if reservation.prefill_endpoint is not None:
                 took = await self._prefill_engines[
-                    place.prefill_endpoint.id
+                    reservation.prefill_endpoint.id
                 ].prefill(prompt)
                 gateway.token_timing.record_prefill(prompt, took)
-            place.record_prefilled()
+            reservation.record_prefilled()
             stream = _Stream(prompt=prompt, answer=answer, progress=progress)
-            engine = self._decode_engines[place.endpoint.id]
+            engine = self._decode_engines[reservation.endpoint.id]
             if not engine.start(stream):
                 self.outcome.wasted += prompt
                 gateway.health.record_rejection(
-                    place.endpoint.id, place.reserved_at
+                    reservation.endpoint.id, reservation.reserved_at
                 )
                 return False
             await stream.ended.wait()
         finally:
-            place.release()
+            reservation.release()
         gateway.lengths.record_answer(guess=guess, actual=answer)
         self._record_outcome(stream, began)
         return True
 
     def _record_outcome(self, stream: _Stream, began: float) -> None:
         late = stream.first_at - began > self._spec.target_s
-        paused = stream.longest_pause_s > self._spec.pause_s
+        paused = stream.longest_pause_s > self._spec.max_pause_s
         self.outcome.late_start += late
         self.outcome.long_pause += paused
         self.outcome.in_time += not (late or paused)
@@ -456,10 +459,10 @@
     start_s = pace.start_s(run.held_tokens)
     return reservation_mod.ReservationRequest(
         service=SERVICE,
-        memory_tokens=spec.memory,
+        memory_tokens=spec.memory_tokens,
         run=run,
         exclude=(),
-        event_interval_s=pace.decode_s(spec.event),
+        event_interval_s=pace.decode_s(spec.event_tokens),
         claim=queue_order.WaitingRequest(
             priority=1,
             target=began + spec.target_s,
@@ -472,5 +475,5 @@
 
 
 async def serve(spec: Spec, seed: int) -> Outcome:
-    """What becomes of a load on a fleet."""
+    """Simulate a fleet under its load."""
     return await Fleet(spec=spec, seed=seed).serve()
--- a/rackpost/testing/plain.py
+++ b/rackpost/testing/plain.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service, whose answers are derived from the call."""
+"""A simulated plain service, whose answers are derived from the call."""
 
 import asyncio
 import hashlib
@@ -10,13 +10,13 @@
 from rackpost import exceptions
 from rackpost.testing import engine as engine_testing
 
-# Calls that it serves at once, and the seconds that each takes.
+# Concurrent calls, and the duration of each.
 SLOTS = 16
 CALL_S = 0.01
 
 
 def answer_to(method: str, path: str, query: str, body: bytes) -> bytes:
-    """The body that the service gives for a call."""
+    """Return the response body for a call."""
     text = f"{method} {path}?{query} ".encode() + body
     return hashlib.blake2b(text, digest_size=16).hexdigest().encode()
 
@@ -48,7 +48,7 @@
         yield ""  # This makes the function a generator.
 
     async def abort(self, *, key: slots.AttemptKey) -> None:
-        """Nothing outlives a call."""
+        """Do nothing: no state outlives a call."""
 
     async def events(self) -> engine.CacheEvents:
         """A plain service caches no prompts."""
@@ -64,7 +64,7 @@
         headers: tuple[tuple[str, str], ...],
         body: bytes,
     ) -> AsyncGenerator[engine.CallHead | bytes, None]:
-        """Spend the time, then answer."""
+        """Wait for the duration of a call, then answer."""
         if self.dead:
             raise exceptions.EngineError("service is down", ran=False)
         async with self._capacity:
--- a/rackpost/testing/ports.py
+++ b/rackpost/testing/ports.py
@@ -5,7 +5,7 @@
 
 
 def free(count: int) -> list[int]:
-    """Ports that were free a moment ago, all different."""
+    """Return distinct ports that are currently unused."""
     with contextlib.ExitStack() as stack:
         socks = [
             stack.enter_context(socket.create_server(("127.0.0.1", 0)))
--- a/rackpost/testing/quota_world.py
+++ b/rackpost/testing/quota_world.py
@@ -1,7 +1,7 @@
-"""Gateways under one quota, in virtual time: words late, lost, forgotten.
+"""Simulates gateways that share one organisation's quota in virtual time.
 
-The load is that of a small organisation: 29,000 tokens a second, of which a
-generation counts some 15,000, so that a few at once are a second of it.
+Reports between gateways are delayed, may be lost, and are forgotten in
+restarts.  A generation uses about half a second's worth of the quota.
 """
 
 import random
@@ -19,25 +19,23 @@
 QUOTA = model.Quota(
     rate_per_s=29_000, burst=29_000, by_tokens=True, plain_units=200
 )
-# The most that may be spent in any window: the site's promise.
+# The site's promise for any window.
 MAX_UNITS_PER_WINDOW = (
     TERMS.limit(QUOTA) * (1.0 + TERMS.overshoot) + TERMS.slack
 )
 _ITEM = model.Organisation(name=ORGANISATION, keys=(), quota=QUOTA)
-# Tokens of a generation: prompt and the most that it may answer.
+# Tokens of a generation: its prompt and its answer limit.
 _MIN_TOKENS = 13_000
 _MAX_TOKENS = 17_000
-# From a change to its arrival at the others, and between two tellings of
-# everything, in seconds.
 REPORT_DELAY_S = 0.01
 _REPORT_INTERVAL_S = 1.0
 
-# Makes the decisions of a gateway that starts at a clock reading.
+# Makes the quotas of a gateway from its start time and its index.
 Make = Callable[[float, int], quota.Quotas]
 
 
 class _Message(NamedTuple):
-    """A message on its way."""
+    """A report in transit."""
 
     at: float
     sender: int
@@ -47,7 +45,7 @@
 
 
 class World:
-    """Gateways that tell each other late, lose words, restart and are cut."""
+    """Simulated gateways that exchange quota reports."""
 
     def __init__(
         self, *, make: Make, rng: random.Random, gateways: int
@@ -60,7 +58,7 @@
         self.bytes = 0
         self.incarnations = [1] * gateways
         self._make = make
-        # All have run for long when the world begins.
+        # All gateways started long before the simulation does.
         self.gateways = [self._new(at, -100.0) for at in range(gateways)]
         self.cut = False
         self._due: list[_Message] = []
@@ -74,13 +72,13 @@
         return found
 
     def are_apart(self, one: int, other: int) -> bool:
-        """Whether a cut lies between two gateways."""
+        """Whether a partition separates two gateways."""
         return self.cut and one % 2 != other % 2
 
     def publish(self, sender: int, loss: float = 0.0) -> None:
-        """A gateway tells all others what has changed."""
-        told = self.gateways[sender].next_report(self.now)
-        size = len(codec.encode(told))
+        """Send a gateway's changes to all others."""
+        report = self.gateways[sender].next_report(self.now)
+        size = len(codec.encode(report))
         for other in range(len(self.gateways)):
             if other == sender:
                 continue
@@ -88,25 +86,25 @@
             self.bytes += size
             if self.are_apart(sender, other) or self.rng.random() < loss:
                 continue
-            life = self.incarnations[sender]
-            word = _Message(
-                self.now + REPORT_DELAY_S, sender, life, other, told
+            incarnation = self.incarnations[sender]
+            message = _Message(
+                self.now + REPORT_DELAY_S, sender, incarnation, other, report
             )
-            self._due.append(word)
+            self._due.append(message)
 
     def step(self, seconds: float) -> None:
-        """Time passes; words arrive."""
+        """Advance the time and deliver the reports that are due."""
         self.now += seconds
         due = [item for item in self._due if item.at <= self.now]
         self._due = [item for item in self._due if item.at > self.now]
-        for word in due:
-            name = types.VmId(str(word.sender))
-            self.gateways[word.receiver].receive(
-                name, word.incarnation, word.report, word.at
+        for message in due:
+            name = types.VmId(str(message.sender))
+            self.gateways[message.receiver].receive(
+                name, message.incarnation, message.report, message.at
             )
 
     def submit(self, at: int, wanted: int) -> bool:
-        """A request comes to a gateway; whether it passes."""
+        """Submit a request to a gateway; return whether it is admitted."""
         self.requested += wanted
         one = self.gateways[at]
         if one.check(_ITEM, wanted, self.now) is not None:
@@ -117,7 +115,7 @@
         return True
 
     def restart(self, *group: int) -> None:
-        """They know nothing; all tell newcomers what they know."""
+        """Restart gateways without their state; the others report theirs."""
         for at in group:
             self.incarnations[at] += 1
             self.gateways[at] = self._new(at, self.now)
@@ -128,7 +126,7 @@
             self.publish(at)
 
     def max_units_in_window(self) -> int:
-        """The most that has passed in any window."""
+        """Return the most units that were admitted in any window."""
         window_s = TERMS.window_s
         return max(
             (
@@ -141,23 +139,23 @@
     def play(
         self, *, requests_per_s: float, seconds: float, loss: float = 0.01
     ) -> Iterator[int]:
-        """A crowd of the organisation, at all gateways; yields seconds."""
+        """Generate load at all gateways; yield the number of each second."""
         until = self.now + seconds
-        next_ask = self.now
-        next_all = self.now + _REPORT_INTERVAL_S
+        next_request_at = self.now
+        next_report_at = self.now + _REPORT_INTERVAL_S
         second = 0
         while self.now < until:
-            if next_ask < next_all:
-                self.step(max(0.0, next_ask - self.now))
+            if next_request_at < next_report_at:
+                self.step(max(0.0, next_request_at - self.now))
                 at = self.rng.randrange(len(self.gateways))
                 if self.submit(
                     at, self.rng.randrange(_MIN_TOKENS, _MAX_TOKENS)
                 ):
                     self.publish(at, loss)
-                next_ask += self.rng.expovariate(requests_per_s)
+                next_request_at += self.rng.expovariate(requests_per_s)
                 continue
-            self.step(max(0.0, next_all - self.now))
-            next_all += _REPORT_INTERVAL_S
+            self.step(max(0.0, next_report_at - self.now))
+            next_report_at += _REPORT_INTERVAL_S
             for one in range(len(self.gateways)):
                 self.publish(one, loss)
             yield second
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -1,8 +1,7 @@
-"""Many gateways and one endpoint that names a rate, in virtual time.
+"""Simulates many gateways and one rate-limited endpoint in virtual time.
 
-What is worth following of the rest of a site: requests that come at random,
-datagrams that take their time and may be lost, gateways that start again,
-that are cut off from others, and what coordinators tell of who there is.
+Covers random arrivals, datagram delay and loss, gateway restarts, network
+partitions and the list of gateways that coordinators publish.
 """
 
 import abc
@@ -29,11 +28,11 @@
 from rackpost.testing import virtual
 from rackpost import types
 
-# What the users allow in a window, of that many seconds.
+# A window may contain this factor of the rate, plus a fixed burst.
 WINDOW_S = 4.0
 _ALLOWED_RATE_FACTOR = 1.5
 _ALLOWED_BURST = 5
-# Gateways tell each other this often, in seconds.
+# Between two load reports of a gateway.
 _PUBLISH_INTERVAL_S = 1.0
 _DECODER = codec.Decoder(kinds=messages.BetweenGateways)
 
@@ -43,20 +42,20 @@
 
 
 class Spec(msgspec.Struct, frozen=True, kw_only=True):
-    """A site, its load and its faults; times in seconds.
+    """A simulated site, its load and its faults; times in seconds.
 
     Attributes:
-        rate: what the endpoint names, requests a second.
-        asked: requests a second that could go there, of all gateways.
-        waits: no other endpoint is left for them.
-        patience: how long a request that waits does so.
-        restart_each: a gateway starts again this often, its owner first.
-        cut: gateways fall in two halves from here to there.
+        rate: requests a second that the endpoint announces.
+        offered: requests a second that arrive at all gateways together.
+        waits: whether requests wait instead of using another endpoint.
+        patience: how long a request waits at most.
+        restart_each: interval between gateway restarts; 0 for none.
+        cut: start and end of a partition into two halves.
     """
 
     gateways: int = 5
     rate: float = 3.3
-    asked: float = 30.0
+    offered: float = 30.0
     waits: bool = False
     patience: float = 2.0
     seconds: float = 20.0
@@ -68,23 +67,23 @@
 
 
 class RatePolicy(abc.ABC):
-    """How one gateway decides whether it may send a request."""
+    """Decides whether one gateway may send a request."""
 
     @abc.abstractmethod
     async def may_send(self) -> bool:
-        """Whether one request may be sent now."""
+        """Whether a request may be sent now."""
 
     @abc.abstractmethod
     def receive(self, data: bytes, sender: address.Address) -> None:
-        """A datagram has come."""
+        """Handle a datagram from another gateway."""
 
     @abc.abstractmethod
     def publish(self) -> None:
-        """A second has passed: tell the others."""
+        """Publish this gateway's state to the others."""
 
 
 class World:
-    """Gateways, and when requests came to the endpoint."""
+    """Simulated gateways, and the times at which they sent requests."""
 
     def __init__(
         self,
@@ -104,22 +103,22 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def now(self) -> float:
-        """The clock of all, in seconds."""
+        """Return the virtual time in seconds."""
         return self.loop.time()
 
     def present(self) -> list[types.VmId]:
-        """The gateways that coordinators tell of."""
+        """Return the gateways that coordinators list."""
         return list(self.names)
 
     def is_apart(self, one: types.VmId, other: types.VmId) -> bool:
-        """Whether datagrams between two do not arrive."""
+        """Whether a partition separates two gateways."""
         begin, end = self.spec.cut
         half = len(self.names) // 2
         sides = [self.names.index(vm) < half for vm in (one, other)]
         return begin <= self.now() < end and sides[0] != sides[1]
 
     def send(self, me: types.VmId, other: types.VmId, data: bytes) -> None:
-        """A datagram on its way, which may be lost."""
+        """Send a datagram, which may be lost."""
         self.messages += 1
         lost = self.rng.random() < self.spec.loss
         if lost or self.is_apart(me, other):
@@ -128,9 +127,9 @@
         self.loop.call_later(delay, self._arrive, me, other, data)
 
     def _arrive(self, me: types.VmId, other: types.VmId, data: bytes) -> None:
-        way = self.policies.get(other)
-        if way is not None:
-            way.receive(data, address.Address(host=me, port=1))
+        policy = self.policies.get(other)
+        if policy is not None:
+            policy.receive(data, address.Address(host=me, port=1))
 
     def _spawn(self, coro: Any) -> None:
         task = self.loop.create_task(coro)
@@ -149,7 +148,7 @@
 
     async def _requests(self) -> None:
         while True:
-            await asyncio.sleep(self.rng.expovariate(self.spec.asked))
+            await asyncio.sleep(self.rng.expovariate(self.spec.offered))
             vm = self.rng.choice(self.names)
             if vm in self.policies:
                 self._spawn(self._request(vm))
@@ -165,7 +164,7 @@
         while self.spec.restart_each:
             await asyncio.sleep(self.spec.restart_each)
             owner = rate_decisions.owner(ENDPOINT.id, self.names)
-            # The owner each second time.
+            # Half of the restarts hit the owner of the rate.
             vm = self.rng.choice([owner, self.rng.choice(self.names)])
             self._spawn(self._restart(vm))
 
@@ -175,7 +174,7 @@
         self.policies[vm] = self._make(self, vm)
 
     async def play(self) -> None:
-        """Play it to its end."""
+        """Run the simulation for the specified time."""
         for vm in self.names:
             self.policies[vm] = self._make(self, vm)
             self._spawn(self._publish_loop(vm))
@@ -186,7 +185,10 @@
             task.cancel()
 
     def worst_excess(self) -> float:
-        """By how many requests the worst window was over, or below 0."""
+        """Return by how many requests the worst window exceeds its limit.
+
+        Negative if every window is within the limit.
+        """
         allowed = (
             _ALLOWED_RATE_FACTOR * WINDOW_S * self.spec.rate + _ALLOWED_BURST
         )
@@ -201,12 +203,12 @@
 
     @property
     def utilization(self) -> float:
-        """The part of the rate that was used."""
+        """The fraction of the rate that was used."""
         return len(self.sent_at) / (self.spec.rate * self.spec.seconds)
 
 
 class GrantsPolicy(RatePolicy):
-    """The product's own: grants of one owner."""
+    """The production policy: one owner grants shares of the rate."""
 
     def __init__(self, *, world: World, vm: types.VmId) -> None:
         self._world = world
@@ -255,7 +257,7 @@
         return True
 
     def receive(self, data: bytes, sender: address.Address) -> None:
-        """A figure of another gateway, or a message on a grant."""
+        """Handle another gateway's load report or a grant message."""
         msg = _DECODER.decode(data)
         if isinstance(msg, messages.GatewayLoad):
             now = self._world.now()
@@ -264,7 +266,7 @@
             self._grants.receive(msg, sender)
 
     def publish(self) -> None:
-        """Tell the others that this one is there."""
+        """Publish a load report, which shows that this gateway is alive."""
         self._sequence += 1
         msg = messages.GatewayLoad(
             vm=self._vm,
@@ -277,7 +279,7 @@
         for name in self._world.names:
             if name != self._vm:
                 self._world.send(self._vm, name, data)
-        # It would be counted of all ways alike.
+        # Load reports are not counted: all policies send the same number.
         self._world.messages -= len(self._world.names) - 1
 
 
@@ -290,7 +292,7 @@
     seed: int,
     make: Callable[[World, types.VmId], RatePolicy] = _grants,
 ) -> World:
-    """Play a site to its end; the product's own way unless told."""
+    """Run a simulation, with the production policy by default."""
 
     async def main() -> World:
         world = World(spec=spec, seed=seed, make=make)
--- a/rackpost/testing/site.py
+++ b/rackpost/testing/site.py
@@ -1,7 +1,7 @@
-"""A whole site in one event loop: entries, agents, stand-in endpoints.
+"""A site in one event loop: entries, agents and simulated endpoints.
 
-The entries and agents are the product's own; only the links (in process,
-with a delay) and the endpoints are stand-ins.
+Entries and agents are the production code.  The links, which run in process
+with a delay, and the endpoints are simulated.
 """
 
 import asyncio
@@ -30,12 +30,12 @@
     between_s: float = 0.0005
 
     def between(self, one: str, two: str) -> float:
-        """The delay between two data centres."""
+        """Return the delay between two data centres, in seconds."""
         return self.inside_s if one == two else self.between_s
 
 
 class EndpointConfig(NamedTuple):
-    """One endpoint of the site, and where it stands."""
+    """An endpoint's name, service, role and data centre."""
 
     name: str
     service: types.ServiceName
@@ -44,7 +44,7 @@
 
 
 class Node:
-    """One endpoint with its agent."""
+    """An endpoint with its agent."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self.links: list[channel.LocalChannel] = []
 
     def kill_agent(self) -> None:
-        """The agent's process dies: its links and work with it."""
+        """Simulate the death of the agent's process."""
         self.task.cancel()
         self.agent.close()
 
@@ -73,12 +73,12 @@
 def make_reservation_ledger(
     spec: reservations_mod.EndpointSpec,
 ) -> reservations_mod.EndpointLedger:
-    """The product's book."""
+    """Return the ledger that production agents use."""
     return reservations_mod.ReservationLedger(spec=spec)
 
 
 class Site:
-    """Everything between callers and endpoints, and the endpoints."""
+    """A site's entries, agents and endpoints."""
 
     def __init__(
         self,
@@ -103,11 +103,11 @@
         self._lease_s = lease_s
 
     def rng(self, name: str) -> random.Random:
-        """A generator of its own for a part of the site."""
+        """Return a random generator seeded for the named component."""
         return random.Random(f"{self._seed}/{name}")
 
     def add_endpoint(self, config: EndpointConfig) -> Node:
-        """Set up an endpoint and its agent, linked to every entry."""
+        """Add an endpoint and its agent, linked to every entry."""
         found = self._make_engine(config)
         agent = agent_core.Agent(
             cfg=agent_core.AgentConfig(
@@ -138,7 +138,7 @@
         )
 
     def spec_of(self, config: EndpointConfig) -> reservations_mod.EndpointSpec:
-        """What the operator states of an endpoint."""
+        """Return the operator's specification of an endpoint."""
         spec = self.engine_spec
         if config.role is types.Role.PLAIN:
             return reservations_mod.EndpointSpec(
@@ -160,7 +160,7 @@
         data_centre: types.DataCentre,
         policy: placement.Policy | None = None,
     ) -> entry_core.Entry:
-        """Set up an entry, linked to every agent."""
+        """Add an entry, linked to every agent."""
         rng = self.rng(name)
         entry = entry_core.Entry(
             cfg=entry_core.EntryConfig(
@@ -180,36 +180,36 @@
         return entry
 
     def _link(self, entry: entry_core.Entry, node: Node) -> None:
-        place = node.config
-        delay = self.delays.between(entry.cfg.data_centre, place.data_centre)
+        config = node.config
+        delay = self.delays.between(entry.cfg.data_centre, config.data_centre)
         here, there = channel.local_pair(delay_s=delay)
         node.links.append(there)
         node.agent.connect(there)
         entry.add_agent(
             pool.Member(
-                agent=types.AgentId(place.name),
-                service=place.service,
-                role=place.role,
-                data_centre=place.data_centre,
+                agent=types.AgentId(config.name),
+                service=config.service,
+                role=config.role,
+                data_centre=config.data_centre,
                 delay_s=delay,
             ),
             here,
         )
 
     def kill_entry(self, entry: entry_core.Entry) -> None:
-        """The entry's process dies: every link of it ends."""
+        """Simulate the death of the entry's process: close its links."""
         self.entries.remove(entry)
         for peer in entry.pool.peers():
             peer.conn.close()
 
     def held(self) -> set[types.RequestId]:
-        """Requests for which any engine holds memory."""
+        """Return the requests for which any engine holds memory."""
         found: set[types.RequestId] = set()
         for item in self.engines.values():
             found |= item.held()
         return found
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for node in self.nodes.values():
             node.kill_agent()
--- a/rackpost/testing/virtual.py
+++ b/rackpost/testing/virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only when nothing else is left to do."""
+"""An event loop in virtual time, which advances only when all tasks wait."""
 
 import asyncio
 import selectors
@@ -10,18 +10,18 @@
 
 
 class Deadlock(RuntimeError):
-    """Every task waits, and no timer is set."""
+    """All tasks wait and no timer is set."""
 
 
 class _TimeSelector(selectors.SelectSelector):
-    """Lets virtual time pass in place of waiting."""
+    """Advances virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list:
-        """Move the time on by `timeout`; no file is ever ready."""
+        """Advance the time by `timeout`; no file is ever ready."""
         if timeout is None:
             raise Deadlock("all tasks wait for each other")
         self.now += max(0.0, timeout)
@@ -29,18 +29,18 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop in virtual time: the same tasks give the same run."""
+    """An event loop in virtual time, whose runs are reproducible."""
 
     def __init__(self) -> None:
         self._times = _TimeSelector()
         super().__init__(self._times)
 
     def time(self) -> float:
-        """Virtual seconds since the loop was made."""
+        """Return the virtual seconds since the loop was created."""
         return self._times.now
 
 
 def run(main: Coroutine[Any, Any, T]) -> T:
-    """Run `main` to its end in virtual time."""
+    """Run `main` to completion in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
--- a/rackpost/testing/workload.py
+++ b/rackpost/testing/workload.py
@@ -1,7 +1,6 @@
-"""The kinds of requests of the users' two deployments, and a schedule.
+"""Two synthetic workloads and the schedules of their requests.
 
-Lengths, shares and targets are ours, chosen to be of the sort that the
-users describe; docs/MEASUREMENTS.md gives them beside the results.
+docs/MEASUREMENTS.md gives the lengths, shares and targets.
 """
 
 import json
@@ -15,9 +14,9 @@
 
 
 class Kind(NamedTuple):
-    """One kind of request.
+    """A kind of request.
 
-    `prompt` and `answer` are bounds in tokens, `share` its part of all
+    `prompt` gives its bounds in tokens, `share` its fraction of all
     requests.  A kind without a prompt goes to a plain service.
     """
 
@@ -37,7 +36,7 @@
         return self.prompt == (0, 0)
 
     def terms(self) -> terms_mod.Terms:
-        """What its callers are promised."""
+        """Return the service terms of its callers."""
         return terms_mod.Terms(
             ttft_s=self.ttft_s,
             tbt_s=0.058,
@@ -48,7 +47,7 @@
 
 
 class Deployment(NamedTuple):
-    """One of the users' sites."""
+    """A site's endpoints and the kinds of its requests."""
 
     name: str
     data_centres: tuple[str, ...]
@@ -113,15 +112,15 @@
 
 DEPLOYMENTS = {item.name: item for item in (SHORT_PROMPTS, MIXED_PROMPTS)}
 
-# Every prompt begins with the kind's own instructions, then with what a
-# group of callers shares.
+# A prompt starts with the instructions of its kind, followed by a prefix
+# that a group of callers shares.
 _SYSTEM_TOKENS = 256
 _GROUP_TOKENS = 128
 _GROUPS = 24
 
 
 class Offer(NamedTuple):
-    """A request that a caller will send at a moment, in seconds."""
+    """A request of a schedule; `at` is its time in seconds."""
 
     at: float
     number: int
@@ -141,7 +140,7 @@
 def make_offer(
     kind: Kind, at: float, number: int, rng: random.Random
 ) -> Offer:
-    """One request of a kind."""
+    """Return a request of a kind."""
     if kind.plain:
         body = f"{kind.name} {number} {rng.getrandbits(64):x}".encode()
         return Offer(at, number, kind, body, 0, 0, 0)
@@ -180,10 +179,10 @@
     burst_s: float = 5.0,
     burst_rate: float = 0.0,
 ) -> list[Offer]:
-    """An open-loop schedule: Poisson arrivals, the same for each seed.
+    """Return an open-loop schedule of Poisson arrivals for a seed.
 
-    From `burst_at` on, `burst_rate` more requests a second of the
-    deployment's rush kind come for `burst_s`, most of them at first.
+    From `burst_at` on, `burst_rate` additional requests a second of the
+    burst kind arrive for `burst_s`, most of them at the start.
     """
     rng = random.Random(f"{deployment.name}/{seed}")
     weights = [kind.share for kind in deployment.kinds]
@@ -198,23 +197,23 @@
             k for k in deployment.kinds if k.name == deployment.burst_kind
         )
         for _ in range(round(burst_rate * burst_s)):
-            # They come together: a third within a tenth of the time.
+            # A third of the burst arrives in its first tenth.
             at = burst_at + burst_s * rng.random() ** 2
             offers.append(make_offer(kind, at, len(offers), rng))
     return sorted(offers, key=lambda offer: offer.at)
 
 
 class Costs(NamedTuple):
-    """What a request takes at the least: seconds of each resource."""
+    """The least that a request takes of each resource, in seconds."""
 
     prefill_s: float
     slot_s: float
 
 
 def costs(offer: Offer, spec: engine.EngineSpec) -> Costs:
-    """The least that a request takes, its shared prefix being cached.
+    """Return the least cost of a request whose shared prefix is cached.
 
-    A slot is held for the transfer and for the steps of a full batch.
+    Its slot is occupied for the transfer and for the steps of a full batch.
     """
     if offer.kind.plain:
         return Costs(0.0, 0.0)
