--- a/spec/check.py
+++ b/spec/check.py
@@ -1,7 +1,7 @@
 """Checks the models: python -m spec.check [--mutants].
 
-With --mutants each known fault is put into its model, and the run fails
-unless every one of them is found.
+With --mutants, each model is checked with each of its known faults, and the
+run fails unless every fault violates an invariant.
 """
 
 import argparse
@@ -18,17 +18,17 @@
 from spec import settings
 
 MODELS = (consensus, membership, durable, claims, settings, quarantine)
-# More states than this are not explored; the run then fails.
+# The run fails if a model has more states.
 _MAX_STATES = 3_000_000
 
 
 def explore(model: minicheck.Protocol) -> Any:
-    """The checker's report on a model or a mutant of it."""
+    """Return the checker's report on a model or one of its mutants."""
     return minicheck.check_safety(model, max_states=_MAX_STATES)
 
 
 def violated(report: Any) -> list[str]:
-    """The invariants that do not hold."""
+    """Return the names of the violated invariants."""
     return [
         name
         for name, found in report["properties"].items()
@@ -37,7 +37,7 @@
 
 
 def check_models() -> bool:
-    """Check each model as it is; True if nothing is violated."""
+    """Check each model without faults; True if no invariant is violated."""
     good = True
     for model in MODELS:
         for label, protocol in model.variants().items():
@@ -57,7 +57,7 @@
 
 
 def check_mutants() -> bool:
-    """Check each known fault; True if every one is found."""
+    """Check each mutant; True if every fault is found."""
     good = True
     for model in MODELS:
         for fault, text in model.MUTANTS.items():
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -1,32 +1,31 @@
-"""Model of claims: claim, run, seal and resend, with deaths and restarts.
+"""Model of claims: claim, run, seal and resend, with crashes and restarts.
 
-One key; attempts A and B come from two entries, A's agent may restart
-once and control may be restored from a snapshot once.  An attempt is
-reserved, claimed, sent and delivered; the caller resends at the other
-entry at any moment.  Delays are unbounded, so clocks that drift need no
-steps of their own: a lease is only ever a promise that may end at any
-moment.
+There is one key, with attempts A and B from two entries.  A's agent may
+restart once, and control may be restored from a snapshot once.  The caller
+may resend at the other entry at any time.  Delays are unbounded, which
+covers clock drift: a lease may end at any time.
 """
 
 import minicheck
 
-# Of an attempt at its agent.
-NONE, PROMISED, RUNNING, ENDED, LOST = range(5)
-# Of the claim.
+# States of an attempt at its agent.
+NONE, RESERVED, RUNNING, ENDED, LOST = range(5)
+# States of the claim.
 FREE, HELD_A, HELD_B, UNKNOWN, DONE = range(5)
 
 FIELDS = (
-    "claim",  # what control's table says
-    "at",  # state of A and B at their agents
-    "wire",  # run message of A and B on the way
-    "granted",  # the entry of A and B knows that it holds the claim
-    "alive",  # the entry of A and B lives
-    "sealed",  # the agent remembers that A and B are sealed
-    "fresh",  # the agent of A is in its first incarnation
-    "ran",  # how often A and B ran
-    "told",  # the caller of A and B was told not-run
-    "seal_ok",  # the other entry has A's (B's) word of the seal
-    "snapshot",  # the snapshot that control may be restored from
+    # Pairs are for A and B.
+    "claim",  # state of the claim in control's table
+    "at",  # states at the agents
+    "wire",  # run messages in flight
+    "granted",  # whether the entry knows that it holds the claim
+    "alive",  # whether the entry is alive
+    "sealed",  # whether the agent remembers the seal
+    "fresh",  # whether A's agent is in its first incarnation
+    "ran",  # number of runs
+    "reported",  # whether the caller received not-run
+    "seal_ok",  # whether the other entry received the seal's confirmation
+    "snapshot",  # claim in control's snapshot; -1: none, -2: restored
 )
 INITIAL = (
     FREE,
@@ -45,10 +44,10 @@
 MUTANTS = {
     "seal-not-remembered": "an agent forgets that it sealed an attempt",
     "claim-after-hand-over": "the run is sent before the claim is granted",
-    "restart-counts-as-sealed": "an agent that restarted says 'never ran'",
+    "restart-counts-as-sealed": "a restarted agent reports 'never ran'",
     "snapshot-drops-claim": "a snapshot leaves the claims out",
-    "any-may-settle": "one that does not hold the claim frees it",
-    "not-run-without-seal": "the caller is told not-run on a silent agent",
+    "any-may-settle": "an entry that does not hold the claim frees it",
+    "not-run-without-seal": "not-run is reported though an agent is silent",
 }
 
 
@@ -63,7 +62,7 @@
         self.fault = fault
 
     def __call__(self, state: tuple) -> list[tuple[str, tuple]]:
-        """All steps from a state."""
+        """Return all steps from a state."""
         found: list[tuple[str, tuple]] = []
         for who in (0, 1):
             found += self._entry_steps(dict(zip(FIELDS, state)), who)
@@ -81,9 +80,9 @@
         found = []
         if not now["alive"][who]:
             return found
-        reserved = now["at"][who] == PROMISED
+        reserved = now["at"][who] == RESERVED
         if now["at"][who] == NONE and not now["sealed"][who]:
-            at = _set(now["at"], who, PROMISED)
+            at = _set(now["at"], who, RESERVED)
             found.append(self._step(f"reserve {label}", now, at=at))
         if reserved and now["claim"] == FREE and not now["granted"][who]:
             granted = _set(now["granted"], who, 1)
@@ -97,7 +96,7 @@
             wire = _set(now["wire"], who, 1)
             found.append(self._step(f"send run {label}", now, wire=wire))
         found += self._resend_steps(now, who, other, label)
-        found += self._tell_steps(now, who, label)
+        found += self._report_not_run_steps(now, who, label)
         dead = _set(now["alive"], who, 0)
         found.append(self._step(f"entry of {label} dies", now, alive=dead))
         return found
@@ -105,14 +104,14 @@
     def _resend_steps(
         self, now: dict, who: int, other: int, label: str
     ) -> list:
-        """The claim is another's: ask its agent to seal, then free it."""
+        """Have the agent of the claim's holder seal it, then free it."""
         held = now["claim"] == other
         them = 1 - who
         found = []
         if held and not now["seal_ok"][them]:
             fresh = them == 1 or now["fresh"]
             state = now["at"][them]
-            if fresh and state in (NONE, PROMISED, LOST):
+            if fresh and state in (NONE, RESERVED, LOST):
                 never = now["ran"][them] == 0
                 at = _set(now["at"], them, ENDED)
                 sealed = now["sealed"]
@@ -154,19 +153,19 @@
             )
         return found
 
-    def _tell_steps(self, now: dict, who: int, label: str) -> list:
-        """Tell the caller not-run: only if nothing was handed over."""
-        if now["told"][who]:
+    def _report_not_run_steps(self, now: dict, who: int, label: str) -> list:
+        """Report not-run to the caller if nothing was handed over."""
+        if now["reported"][who]:
             return []
         handed = now["wire"][who] or now["at"][who] in (RUNNING, ENDED, LOST)
         sealed = now["sealed"][who] and now["ran"][who] == 0
         silent = self.fault == "not-run-without-seal"
         if handed and not sealed and not silent:
             return []
-        told = _set(now["told"], who, 1)
-        # Having said so, the entry sends nothing any more.
+        reported = _set(now["reported"], who, 1)
+        # The entry sends nothing after it has reported not-run.
         at = now["at"]
-        if at[who] == PROMISED and not handed:
+        if at[who] == RESERVED and not handed:
             at = _set(at, who, ENDED)
         sealed_by_release = now["sealed"]
         if not handed:
@@ -175,7 +174,7 @@
             self._step(
                 f"tell not-run {label}",
                 now,
-                told=told,
+                reported=reported,
                 at=at,
                 sealed=sealed_by_release,
             )
@@ -187,7 +186,7 @@
         state = now["at"][who]
         if now["wire"][who]:
             wire = _set(now["wire"], who, 0)
-            if state == PROMISED and not now["sealed"][who]:
+            if state == RESERVED and not now["sealed"][who]:
                 found.append(
                     self._step(
                         f"run {label}",
@@ -200,11 +199,11 @@
             else:
                 found.append(self._step(f"drop run {label}", now, wire=wire))
         gone = not now["alive"][who] and not now["wire"][who]
-        if state == PROMISED and gone:
-            # The link ended, behind all that was sent on it.
+        if state == RESERVED and gone:
+            # The link has ended after all of its messages were delivered.
             found.append(
                 self._step(
-                    f"promise of {label} dies with its link",
+                    f"reservation of {label} ends with its link",
                     now,
                     at=_set(now["at"], who, ENDED),
                     sealed=_set(now["sealed"], who, 1),
@@ -241,8 +240,8 @@
                 kept = FREE
             found.append(self._step("snapshot", now, snapshot=kept))
         if now["snapshot"] >= 0 and now["snapshot"] != now["claim"]:
-            # The log behind the snapshot is replayed, unless the snapshot
-            # itself lacks what the log no longer has.
+            # Replaying the log restores the claim, unless the snapshot
+            # dropped it and the log is compacted.
             if self.fault == "snapshot-drops-claim":
                 found.append(
                     self._step(
@@ -258,12 +257,13 @@
 
 def _not_run_is_true(now: dict) -> bool:
     return all(
-        not (told and ran) for told, ran in zip(now["told"], now["ran"])
+        not (reported and ran)
+        for reported, ran in zip(now["reported"], now["ran"])
     )
 
 
 def protocol(fault: str = "") -> minicheck.Protocol:
-    """The model, or one of its mutants."""
+    """Return the model, or one of its mutants."""
     return minicheck.Protocol(
         name="claims",
         candidate=False,
@@ -278,5 +278,5 @@
 
 
 def variants() -> dict[str, minicheck.Protocol]:
-    """The model as it is checked."""
+    """Return the checked models by name."""
     return {"all": protocol()}
--- a/spec/consensus.py
+++ b/spec/consensus.py
@@ -1,9 +1,9 @@
 """Model of the replicated log: votes, syncs, crashes, lost disks, reads.
 
-Three replicas, within the bounds of `WIDE` (crashes and a lost disk) and
-of `LONG` (more terms).  A message that is lost is a step that is not
-taken; one that is late is a step that is taken later on what the sender
-then holds, which is what a retry sends.
+Three replicas are checked within the bounds `WIDE` (crashes and a lost disk)
+and `LONG` (more terms).  A lost message is a step that is not taken.  A
+delayed message is a later step with the sender's state at that time, as in a
+retry.
 """
 
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Bounds(NamedTuple):
-    """How far the model goes: terms, records, crashes, lost disks."""
+    """Limits of the state space: terms, records, crashes, lost disks."""
 
     terms: int
     records: int
@@ -24,12 +24,12 @@
 
 WIDE = Bounds(terms=2, records=2, crashes=1, losses=1)
 LONG = Bounds(terms=4, records=1, crashes=0, losses=0)
-# Enough to find the known faults.
+# Sufficient to find the known faults.
 SMALL = Bounds(terms=2, records=1, crashes=1, losses=1)
 
-# A replica: term, voted for (-1: none), log of terms, how much of it is
-# synced, role, votes that it has (as a candidate), commit as it knows,
-# whether it is a voter (a lost disk makes a learner of it).
+# A replica: term, voted for (-1: none), log of terms, length of its synced
+# part, role, bit set of the votes received, known commit index, whether it
+# is a voter (a replica that lost its disk is a learner).
 FOLLOWER, CANDIDATE, LEADER = range(3)
 
 FIELDS = ("replicas", "acked", "crashes", "losses", "broken")
@@ -38,10 +38,10 @@
 
 MUTANTS = {
     "no-sync-before-ack": "a record counts before it is synced",
-    "vote-without-log-check": "a vote is given to one with a shorter log",
+    "vote-without-log-check": "a candidate with a shorter log gets a vote",
     "vote-not-remembered": "a crash forgets whom the replica voted for",
-    "old-term-committed": "a record of an old term is counted by itself",
-    "lost-disk-keeps-its-id": "a lost disk comes back as the old voter",
+    "old-term-committed": "a record of an old term is committed by count",
+    "lost-disk-keeps-its-id": "a replica without its disk remains a voter",
     "read-not-confirmed": "a leader answers reads without a quorum",
 }
 
@@ -58,7 +58,7 @@
         self.bounds = bounds
 
     def __call__(self, state: tuple) -> list[tuple[str, tuple]]:
-        """All steps from a state."""
+        """Return all steps from a state."""
         found: list[tuple[str, tuple]] = []
         for who in range(N):
             found += self._own_steps(state, who)
@@ -89,7 +89,7 @@
         if role != LEADER and term < self.bounds.terms and voter:
             found.append(
                 (
-                    f"{who} stands",
+                    f"{who} becomes a candidate",
                     self._with(
                         state,
                         who,
@@ -101,7 +101,12 @@
                 )
             )
         if role == CANDIDATE and _quorum(bin(votes).count("1")):
-            found.append((f"{who} leads", self._with(state, who, role=LEADER)))
+            found.append(
+                (
+                    f"{who} becomes the leader",
+                    self._with(state, who, role=LEADER),
+                )
+            )
         if role == LEADER and len(log) < self.bounds.records:
             found.append(
                 (
@@ -190,13 +195,13 @@
     def _read_steps(self, state: tuple, who: int) -> list:
         term, _, log, _, _, _, commit, _ = state[0][who]
         own = commit > 0 and log[commit - 1] == term
-        heard = sum(1 for item in state[0] if item[7] and item[0] == term)
-        confirmed = own and _quorum(heard)
+        in_contact = sum(1 for item in state[0] if item[7] and item[0] == term)
+        confirmed = own and _quorum(in_contact)
         if not confirmed and self.fault != "read-not-confirmed":
             return []
         if commit >= len(state[1]):
             return []
-        return [(f"{who} reads what is old", (*state[:4], 1))]
+        return [(f"{who} reads stale state", (*state[:4], 1))]
 
     def _pair_steps(self, state: tuple, who: int, other: int) -> list:
         mine, theirs = state[0][who], state[0][other]
@@ -208,7 +213,7 @@
         if mine[4] != FOLLOWER and theirs[0] > mine[0]:
             found.append(
                 (
-                    f"{who} hears a higher term",
+                    f"{who} observes a higher term",
                     self._with(
                         state,
                         who,
@@ -274,13 +279,13 @@
     return not now["broken"]
 
 
-def _one_leader_a_term(now: dict) -> bool:
+def _one_leader_per_term(now: dict) -> bool:
     terms = [item[0] for item in now["replicas"] if item[4] == LEADER]
     return len(terms) == len(set(terms))
 
 
 def _acked_survives(now: dict) -> bool:
-    # What was acknowledged is synced by some voter, so can be elected.
+    # Some voter has all acknowledged records and can be elected.
     acked = now["acked"]
     return not acked or any(
         item[7] and item[2][: len(acked)] == acked for item in now["replicas"]
@@ -290,7 +295,7 @@
 def protocol(
     fault: str = "", bounds: Bounds | None = None
 ) -> minicheck.Protocol:
-    """The model, or one of its mutants."""
+    """Return the model, or one of its mutants."""
     if bounds is None:
         bounds = SMALL if fault else WIDE
         if fault == "old-term-committed":
@@ -302,13 +307,13 @@
         initial=INITIAL,
         transitions=Steps(fault=fault, bounds=bounds),
         invariants={
-            "no acknowledged record is replaced, no read is old": _safe,
-            "one leader a term": _one_leader_a_term,
-            "an acknowledged record is held": _acked_survives,
+            "no acknowledged record is replaced, no read is stale": _safe,
+            "one leader per term": _one_leader_per_term,
+            "an acknowledged record is kept": _acked_survives,
         },
     )
 
 
 def variants() -> dict[str, minicheck.Protocol]:
-    """The model as it is checked, by the name of its bounds."""
+    """Return the checked models by the name of their bounds."""
     return {str(bounds): protocol(bounds=bounds) for bounds in (WIDE, LONG)}
--- a/spec/durable.py
+++ b/spec/durable.py
@@ -1,10 +1,9 @@
-"""Model of lost disks: what was committed can still be elected.
+"""Model of lost disks: a replica with all committed records can be elected.
 
-One record, the coordinators of one site from their first start with three
-voters to five.  Up to two disks may be lost at once; a replica whose disk
-was lost comes back as a learner under a new id and takes the place of its
-old id.  The rules of commit, promotion and removal are the product's own:
-`consensus.raft` counts copies, `consensus.membership` plans the change.
+There is one record, and a site grows from three voters to five.  Up to two
+disks may be lost at once; a replica that has lost its disk rejoins as a
+learner under a new id, which replaces the old one.  Membership changes are
+planned by the production code in `consensus.membership`.
 """
 
 import itertools
@@ -19,17 +18,17 @@
 TARGET = 5
 HOSTS = ("a", "b", "c", "d", "e")
 
-# Losses in one run of the model: more add states and nothing new.
-MOST_LOSSES = 4
+# Bounds the state space.
+MAX_LOSSES = 4
 
-# Voters' ids, those whose disks hold the record, ids whose disks are gone,
-# hosts that are no voters yet, whether the record is committed, losses.
+# Ids of the voters, ids with the record on disk, ids whose disks are lost,
+# hosts that are not voters yet, whether the record is committed, losses.
 FIELDS = ("voters", "holding", "gone", "joining", "committed", "losses")
 INITIAL = (("a", "b", "c"), frozenset(), frozenset(), ("d", "e"), False, 0)
 
 MUTANTS = {
-    "quorum-only": "a quorum commits, be it fewer than may lose disks",
-    "old-id": "a lost disk's replica votes on under its old id",
+    "quorum-only": "a quorum commits, with no copies beyond it",
+    "old-id": "a replica that lost its disk still votes under its old id",
     "no-catch-up": "a learner becomes a voter before it has caught up",
 }
 
@@ -41,7 +40,7 @@
         self.fault = fault
 
     def __call__(self, state: tuple) -> list[tuple[str, tuple]]:
-        """All steps from a state."""
+        """Return all steps from a state."""
         found = self._copy(state)
         found += self._commit(state)
         found += self._lose(state)
@@ -64,7 +63,7 @@
             if peer not in holding
         ]
 
-    def _needed(self, voters: tuple) -> int:
+    def _required_copies(self, voters: tuple) -> int:
         quorum = len(voters) // 2 + 1
         if self.fault == "quorum-only":
             return quorum
@@ -72,17 +71,19 @@
 
     def _commit(self, state: tuple) -> list[tuple[str, tuple]]:
         voters, holding, gone, joining, committed, losses = state
-        if committed or len(holding & set(voters)) < self._needed(voters):
+        if committed or len(holding & set(voters)) < self._required_copies(
+            voters
+        ):
             return []
         return [("commit", (voters, holding, gone, joining, True, losses))]
 
     def _lose(self, state: tuple) -> list[tuple[str, tuple]]:
         voters, holding, gone, joining, committed, losses = state
-        if not committed or losses >= MOST_LOSSES:
+        if not committed or losses >= MAX_LOSSES:
             return []
-        # What is lost counts as lost until its successor votes; those that
-        # join at the first start are no successors.
-        if len({*joining} - self._first(voters, gone)) >= LOST_AT_ONCE:
+        # A disk counts as lost until its successor is a voter.  Hosts that
+        # join for the first time succeed no lost replica.
+        if len({*joining} - self._never_voted(voters, gone)) >= LOST_AT_ONCE:
             return []
         found = []
         for peer in self._alive(state):
@@ -94,15 +95,15 @@
             found.append((f"lose {peer}", new))
         return found
 
-    def _first(self, voters: tuple, gone: frozenset) -> set[str]:
-        """Hosts that have never voted."""
+    def _never_voted(self, voters: tuple, gone: frozenset) -> set[str]:
+        """Return the hosts that have never been voters."""
         seen = {peer[0] for peer in (*voters, *gone)}
         return {"d", "e"} - seen
 
     def _change(self, state: tuple) -> list[tuple[str, tuple]]:
         voters, holding, gone, joining, committed, losses = state
         alive = self._alive(state)
-        if len(alive) < self._needed(voters):
+        if len(alive) < self._required_copies(voters):
             return []
         leaders = [p for p in alive if p in holding or not committed]
         if not leaders:
@@ -124,7 +125,7 @@
             copied = holding | {learner}
             rest = (gone, joining, committed, losses)
             found.append((f"{learner} catches up", (voters, copied, *rest)))
-        if new is None or not self._holds(new, holding, committed):
+        if new is None or not self._can_commit(new, holding, committed):
             return found
         joined = learner in new
         after = (
@@ -162,24 +163,24 @@
         )
         return None if new is None else tuple(sorted(new.voters))
 
-    def _holds(
+    def _can_commit(
         self, new: tuple[str, ...], holding: frozenset, committed: bool
     ) -> bool:
-        """Whether the change is committed: the log before it is, too."""
+        """Whether the new voters can commit the change and the record."""
         if not committed or self.fault == "no-catch-up":
             return True
-        return len(holding & set(new)) >= self._needed(new)
+        return len(holding & set(new)) >= self._required_copies(new)
 
     def _new_id(self, voters: tuple, host: str) -> str:
         for number in itertools.count(1):
             name = f"{host}#{number}"
             if name not in voters:
                 return name
-        raise AssertionError("counting ends never")
+        raise AssertionError("unreachable")
 
 
 def _electable(now: dict) -> bool:
-    """No quorum of voters that are there lacks what was committed."""
+    """Whether no quorum of live voters lacks the committed record."""
     if not now["committed"]:
         return True
     alive = [peer for peer in now["voters"] if peer not in now["gone"]]
@@ -189,12 +190,12 @@
 
 
 def _kept(now: dict) -> bool:
-    """What was committed is on a disk that is there."""
+    """Whether the committed record is on a disk that still exists."""
     return not now["committed"] or bool(now["holding"] - now["gone"])
 
 
 def protocol(fault: str = "") -> minicheck.Protocol:
-    """The model, or one of its mutants."""
+    """Return the model, or one of its mutants."""
     return minicheck.Protocol(
         name="durable",
         candidate=False,
@@ -202,12 +203,12 @@
         initial=INITIAL,
         transitions=Steps(fault=fault),
         invariants={
-            "no leader lacks what was committed": _electable,
-            "what was committed is kept": _kept,
+            "no leader lacks a committed record": _electable,
+            "a committed record is kept": _kept,
         },
     )
 
 
 def variants() -> dict[str, minicheck.Protocol]:
-    """The model as it is checked."""
+    """Return the checked models by name."""
     return {"two lost": protocol()}
--- a/spec/membership.py
+++ b/spec/membership.py
@@ -1,17 +1,17 @@
-"""Model of changes of the replicas: quorums in force always meet.
+"""Model of membership changes: the quorums of active configs intersect.
 
-A leader acts on the latest config of its log, committed or not; a new
-one may be proposed only when the last is committed.  Two leaders may act
-on any of the configs that are not yet settled.
+A leader uses the latest config in its log, committed or not, and may propose
+a new one only when the last is committed.  Two leaders may use any of the
+configs that are still pending.
 """
 
 import itertools
 
 import minicheck
 
-EVERYONE = frozenset(range(4))
+REPLICAS = frozenset(range(4))
 
-# The last committed config, and those proposed after it.
+# The last committed config, and the proposed configs after it.
 FIELDS = ("committed", "pending")
 INITIAL = (frozenset({0, 1, 2}), ())
 
@@ -28,14 +28,14 @@
         self.fault = fault
 
     def __call__(self, state: tuple) -> list[tuple[str, tuple]]:
-        """All steps from a state."""
+        """Return all steps from a state."""
         committed, pending = state
         found = []
         if pending:
             found.append(("commit", (pending[0], pending[1:])))
             found.append(("lose the proposal", (committed, pending[:-1])))
-        most = 2 if self.fault == "two-changes-at-once" else 1
-        if len(pending) < most:
+        max_pending = 2 if self.fault == "two-changes-at-once" else 1
+        if len(pending) < max_pending:
             last = pending[-1] if pending else committed
             for new in self._next(last):
                 found.append(("propose", (committed, pending + (new,))))
@@ -44,8 +44,8 @@
     def _next(self, last: frozenset) -> list[frozenset]:
         step = 2 if self.fault == "two-voters-at-once" else 1
         found = []
-        for size in range(1, len(EVERYONE) + 1):
-            for names in itertools.combinations(sorted(EVERYONE), size):
+        for size in range(1, len(REPLICAS) + 1):
+            for names in itertools.combinations(sorted(REPLICAS), size):
                 new = frozenset(names)
                 if 0 < len(new ^ last) <= step:
                     found.append(new)
@@ -53,14 +53,14 @@
 
 
 def _quorums(config: frozenset) -> list[frozenset]:
-    need = len(config) // 2 + 1
+    quorum = len(config) // 2 + 1
     return [
         frozenset(names)
-        for names in itertools.combinations(sorted(config), need)
+        for names in itertools.combinations(sorted(config), quorum)
     ]
 
 
-def _meet(now: dict) -> bool:
+def _intersect(now: dict) -> bool:
     live = [now["committed"], *now["pending"]]
     return all(
         one & two
@@ -71,17 +71,17 @@
 
 
 def protocol(fault: str = "") -> minicheck.Protocol:
-    """The model, or one of its mutants."""
+    """Return the model, or one of its mutants."""
     return minicheck.Protocol(
         name="membership",
         candidate=False,
         fields=FIELDS,
         initial=INITIAL,
         transitions=Steps(fault=fault),
-        invariants={"quorums meet": _meet},
+        invariants={"quorums intersect": _intersect},
     )
 
 
 def variants() -> dict[str, minicheck.Protocol]:
-    """The model as it is checked."""
+    """Return the checked models by name."""
     return {"all": protocol()}
--- a/spec/quarantine.py
+++ b/spec/quarantine.py
@@ -1,12 +1,12 @@
-"""Model of a request that ends endpoints: how many ends a loss costs.
+"""Model of a request that crashes endpoints: how many crashes it can cause.
 
-One such request, two gateways, three coordinators of which one disk may be
-lost.  It comes again and again; each time it is sent on, an endpoint's life
-ends.  Gateways and coordinators end at any moment, also between such an end
-and its telling, and all power goes, with one disk.  What holds a request back
-and what is told and kept is the product's own: `decide.quarantine`.
+There are two gateways and three coordinators.  The request is repeated, and
+each time it is sent on, an endpoint's incarnation ends.  Gateways may restart
+and a coordinator may lose its disk at any time, and all processes may lose
+power together, with one disk.  `decide.quarantine` decides what is
+quarantined, reported and stored.
 
-Told in one step: links take milliseconds, a request comes again in seconds.
+A report takes one step: links take milliseconds, requests repeat in seconds.
 """
 
 import functools
@@ -18,21 +18,30 @@
 
 GATEWAYS = 2
 COORDINATORS = 3
-# Losses in one run of the model; more add states and nothing new.
-MOST_LOSSES = 2
-# Ends that are followed: a fault that bounds nothing is seen by then.
-_MOST_ENDS = 12
-# What a loss may cost, in endpoints.  A gateway that ends has told all but
-# its last; with all power goes the last, too, and one that stood alone.
+# Bounds the state space.
+MAX_LOSSES = 2
+# Enough crashes to violate the bound if a fault lifts it.
+_MAX_ENDED = 12
+# Additional endpoints that a loss may cost.  A gateway that ends loses its
+# last unreported suspicion; a power loss also loses one that was reported
+# but not stored.
 _COST_GATEWAY = 1
 _COST_POWER = 2
 
 _REQUEST = types.Fingerprint(b"\x01")
 
-# Lives in each gateway's book, and which of them it has not told; lives in
-# each coordinator's book, and on its disk; lives that ended; what losses may
-# have cost; losses.
-FIELDS = ("gateways", "untold", "books", "disks", "ended", "cost", "losses")
+# Ended incarnations known to each gateway, and those it has not reported;
+# those known to each coordinator, and on its disk; number of incarnations
+# that ended; allowed cost of the losses; number of losses.
+FIELDS = (
+    "gateways",
+    "unreported",
+    "tables",
+    "disks",
+    "ended",
+    "cost",
+    "losses",
+)
 _NONE: frozenset[int] = frozenset()
 INITIAL = (
     (_NONE,) * GATEWAYS,
@@ -45,24 +54,24 @@
 )
 
 MUTANTS = {
-    "no-disk": "coordinators keep nothing on their disks",
-    "one-told": "a gateway tells one coordinator",
-    "not-told-again": "gateways that start are not told what is known",
-    "by-endpoint": "an endpoint that ended twice counts once",
+    "no-disk": "coordinators store nothing on their disks",
+    "one-told": "a gateway reports to only one coordinator",
+    "not-told-again": "a restarted gateway receives no known suspicions",
+    "by-endpoint": "an endpoint that crashed twice counts once",
 }
 
 
 @functools.cache
-def _is_held(lives: frozenset[int]) -> bool:
-    """Whether a book with these lives holds the request back."""
-    book = quarantine.Quarantine()
-    book.add([_suspicion(life) for life in lives], 0.0)
-    return book.is_quarantined(_REQUEST, 1.0)
+def _is_quarantined(incarnations: frozenset[int]) -> bool:
+    """Whether these ended incarnations quarantine the request."""
+    table = quarantine.Quarantine()
+    table.add([_suspicion(item) for item in incarnations], 0.0)
+    return table.is_quarantined(_REQUEST, 1.0)
 
 
-def _suspicion(life: int) -> quarantine.Suspicion:
+def _suspicion(incarnation: int) -> quarantine.Suspicion:
     return quarantine.Suspicion(
-        request=_REQUEST, endpoint=types.EndpointId("e"), born=life + 1
+        request=_REQUEST, endpoint=types.EndpointId("e"), born=incarnation + 1
     )
 
 
@@ -77,28 +86,28 @@
         self.fault = fault
 
     def __call__(self, state: tuple) -> list[tuple[str, tuple]]:
-        """All steps from a state."""
-        found = self._come(state)
-        found += self._tell(state)
+        """Return all steps from a state."""
+        found = self._repeat_request(state)
+        found += self._report(state)
         found += self._end_gateway(state)
         found += self._end_coordinator(state)
         found += self._lose_power(state)
         return found
 
-    def _come(self, state: tuple) -> list[tuple[str, tuple]]:
-        """It comes again, once all that was seen has been told."""
-        gateways, untold, books, disks, ended, cost, losses = state
-        if any(untold) or ended >= _MOST_ENDS:
+    def _repeat_request(self, state: tuple) -> list[tuple[str, tuple]]:
+        """Repeat the request once everything has been reported."""
+        gateways, unreported, tables, disks, ended, cost, losses = state
+        if any(unreported) or ended >= _MAX_ENDED:
             return []
         found = []
         for at, known in enumerate(gateways):
-            if _is_held(known):
+            if _is_quarantined(known):
                 continue
-            life = 0 if self.fault == "by-endpoint" else ended
+            incarnation = 0 if self.fault == "by-endpoint" else ended
             new = (
-                _with(gateways, at, known | {life}),
-                _with(untold, at, frozenset([life])),
-                books,
+                _with(gateways, at, known | {incarnation}),
+                _with(unreported, at, frozenset([incarnation])),
+                tables,
                 disks,
                 ended + 1,
                 cost,
@@ -107,101 +116,104 @@
             found.append((f"an end at gateway {at}", new))
         return found
 
-    def _tell(self, state: tuple) -> list[tuple[str, tuple]]:
-        gateways, untold, books, disks, ended, cost, losses = state
+    def _report(self, state: tuple) -> list[tuple[str, tuple]]:
+        gateways, unreported, tables, disks, ended, cost, losses = state
         found = []
-        for at, news in enumerate(untold):
-            if not news:
+        for at, new_items in enumerate(unreported):
+            if not new_items:
                 continue
-            told = 1 if self.fault == "one-told" else COORDINATORS
+            recipients = 1 if self.fault == "one-told" else COORDINATORS
             after = tuple(
-                book | news if number < told else book
-                for number, book in enumerate(books)
+                table | new_items if number < recipients else table
+                for number, table in enumerate(tables)
             )
             new = (
-                self._pass_on(gateways, after),
-                _with(untold, at, _NONE),
+                self._distribute(gateways, after),
+                _with(unreported, at, _NONE),
                 after,
-                self._keep(disks, after),
+                self._store(disks, after),
                 ended,
                 cost,
                 losses,
             )
-            found.append((f"gateway {at} tells", new))
+            found.append((f"gateway {at} reports", new))
         return found
 
-    def _pass_on(self, gateways: tuple, books: tuple) -> tuple:
-        """All gateways are told of a request with two lives or more."""
+    def _distribute(self, gateways: tuple, tables: tuple) -> tuple:
+        """Send suspicions with enough ended incarnations to all gateways."""
         known: frozenset[int] = frozenset().union(
             *(
-                book
-                for book in books
-                if len(book) >= quarantine.MIN_ENDED_TO_REPORT
+                table
+                for table in tables
+                if len(table) >= quarantine.MIN_ENDED_TO_REPORT
             )
         )
-        return tuple(book | known for book in gateways)
+        return tuple(table | known for table in gateways)
 
-    def _keep(self, disks: tuple, books: tuple) -> tuple:
+    def _store(self, disks: tuple, tables: tuple) -> tuple:
         if self.fault == "no-disk":
             return disks
         return tuple(
-            book if len(book) >= quarantine.MIN_ENDED_TO_REPORT else disk
-            for disk, book in zip(disks, books, strict=True)
+            table if len(table) >= quarantine.MIN_ENDED_TO_REPORT else disk
+            for disk, table in zip(disks, tables, strict=True)
         )
 
     def _end_gateway(self, state: tuple) -> list[tuple[str, tuple]]:
-        gateways, untold, books, disks, ended, cost, losses = state
-        if losses >= MOST_LOSSES:
+        gateways, unreported, tables, disks, ended, cost, losses = state
+        if losses >= MAX_LOSSES:
             return []
         found = []
         for at in range(GATEWAYS):
             fresh = _with(gateways, at, _NONE)
             if self.fault != "not-told-again":
-                told = self._pass_on(fresh, books)
-                fresh = _with(fresh, at, told[at])
+                received = self._distribute(fresh, tables)
+                fresh = _with(fresh, at, received[at])
             new = (
                 fresh,
-                _with(untold, at, _NONE),
-                books,
+                _with(unreported, at, _NONE),
+                tables,
                 disks,
                 ended,
-                cost + (_COST_GATEWAY if untold[at] else 0),
+                cost + (_COST_GATEWAY if unreported[at] else 0),
                 losses + 1,
             )
             found.append((f"gateway {at} ends", new))
         return found
 
     def _end_coordinator(self, state: tuple) -> list[tuple[str, tuple]]:
-        """With its disk; gateways tell it all that they know."""
-        gateways, untold, books, disks, ended, cost, losses = state
-        if losses >= MOST_LOSSES:
+        """Lose a coordinator and its disk; gateways report to it again."""
+        gateways, unreported, tables, disks, ended, cost, losses = state
+        if losses >= MAX_LOSSES:
             return []
         found = []
-        told = frozenset().union(
-            *(book - news for book, news in zip(gateways, untold, strict=True))
+        received = frozenset().union(
+            *(
+                table - new_items
+                for table, new_items in zip(gateways, unreported, strict=True)
+            )
         )
         for at in range(COORDINATORS):
-            after = _with(books, at, told)
-            kept = self._keep(_with(disks, at, _NONE), after)
-            new = (gateways, untold, after, kept, ended, cost, losses + 1)
+            after = _with(tables, at, received)
+            kept = self._store(_with(disks, at, _NONE), after)
+            new = (gateways, unreported, after, kept, ended, cost, losses + 1)
             found.append((f"coordinator {at} and its disk end", new))
         return found
 
     def _lose_power(self, state: tuple) -> list[tuple[str, tuple]]:
-        """Everything ends, and one disk is lost."""
+        """Restart all processes and lose one disk."""
         disks, ended, cost, losses = state[3:]
-        if losses >= MOST_LOSSES:
+        if losses >= MAX_LOSSES:
             return []
         found = []
         for at in range(COORDINATORS):
             left = _with(disks, at, _NONE)
-            nobody = (_NONE,) * GATEWAYS
-            gateways = nobody
+            empty = (_NONE,) * GATEWAYS
+            gateways = empty
             if self.fault != "not-told-again":
-                gateways = self._pass_on(nobody, left)
+                gateways = self._distribute(empty, left)
             new = (
                 gateways,
-                nobody,
+                empty,
                 left,
                 left,
                 ended,
@@ -213,20 +225,20 @@
 
 
 def _is_bounded(now: dict) -> bool:
-    """No more endpoints end than without losses, and what these cost."""
+    """Whether losses cost no more endpoints than allowed."""
     return now["ended"] <= quarantine.MIN_ENDED_TO_QUARANTINE + now["cost"]
 
 
 def _is_agreed(now: dict) -> bool:
-    """Once all is told, gateways hold back alike."""
-    if any(now["untold"]):
+    """Whether gateways agree once everything has been reported."""
+    if any(now["unreported"]):
         return True
-    held = {_is_held(book) for book in now["gateways"]}
+    held = {_is_quarantined(table) for table in now["gateways"]}
     return len(held) == 1
 
 
 def protocol(fault: str = "") -> minicheck.Protocol:
-    """The model, or one of its mutants."""
+    """Return the model, or one of its mutants."""
     return minicheck.Protocol(
         name="quarantine",
         candidate=False,
@@ -234,12 +246,12 @@
         initial=INITIAL,
         transitions=Steps(fault=fault),
         invariants={
-            "a loss costs so many endpoints at most": _is_bounded,
-            "gateways hold back alike": _is_agreed,
+            "the cost of losses is bounded": _is_bounded,
+            "gateways agree on the quarantine": _is_agreed,
         },
     )
 
 
 def variants() -> dict[str, minicheck.Protocol]:
-    """The model as it is checked."""
+    """Return the checked models by name."""
     return {"two losses": protocol()}
--- a/spec/settings.py
+++ b/spec/settings.py
@@ -1,7 +1,8 @@
 """Model of settings: accepted revisions reach a process and never revert.
 
-Two control replicas, of which one may be cut off; a process that watches
-one of them, changes between them and restarts.  Feeds may be late.
+There are two control replicas, of which one may be partitioned, and a
+process that watches one of them, may switch and may restart.  Feeds may be
+delayed.
 """
 
 import minicheck
@@ -11,20 +12,20 @@
 FIELDS = (
     "committed",  # the last accepted revision
     "replica",  # revision applied by each replica
-    "cut",  # the second replica is cut off
-    "mine",  # revision that the process runs on
-    "ready",  # whether it serves
-    "best",  # highest revision that it ever served on
-    "watch",  # replica that it watches, -1 for none
-    "feed",  # revisions on the way to it
-    "skipped",  # it applied a revision without the one before
+    "cut",  # whether the second replica is partitioned
+    "mine",  # revision in force at the process
+    "ready",  # whether the process serves
+    "best",  # highest revision that the process has served with
+    "watch",  # replica that the process watches, -1 for none
+    "feed",  # revisions in transit to the process
+    "skipped",  # whether the process applied a revision after a gap
 )
 INITIAL = (0, (0, 0), 0, 0, 0, 0, -1, (), 0)
 
 MUTANTS = {
-    "lower-revision-applied": "a late feed is applied as it comes",
+    "lower-revision-applied": "a delayed feed is applied",
     "read-not-confirmed": "a restarted process reads any replica",
-    "gap-applied": "a feed is applied though the one before is missing",
+    "gap-applied": "a feed is applied though the previous one is missing",
 }
 
 
@@ -35,7 +36,7 @@
         self.fault = fault
 
     def __call__(self, state: tuple) -> list[tuple[str, tuple]]:
-        """All steps from a state."""
+        """Return all steps from a state."""
         now = dict(zip(FIELDS, state))
         return [
             *self._control_steps(now),
@@ -50,7 +51,7 @@
         found = []
         first, second = now["replica"]
         if now["committed"] < LAST:
-            # A quorum, of which the first replica is one, has it synced.
+            # A quorum that includes the first replica has synced it.
             new = now["committed"] + 1
             found.append(
                 self._step("accept", now, committed=new, replica=(new, second))
@@ -67,13 +68,13 @@
             confirmed = now["replica"][which] == now["committed"] and not (
                 which == 1 and now["cut"]
             )
-            loose = self.fault == "read-not-confirmed"
-            if which == 1 and now["cut"] and not loose:
+            unconfirmed_reads = self.fault == "read-not-confirmed"
+            if which == 1 and now["cut"] and not unconfirmed_reads:
                 continue
-            if now["watch"] == -1 and (confirmed or loose):
+            if now["watch"] == -1 and (confirmed or unconfirmed_reads):
                 revision = now["replica"][which]
                 higher = max(now["mine"], revision)
-                if loose and not now["ready"]:
+                if unconfirmed_reads and not now["ready"]:
                     higher = revision
                 found.append(
                     self._step(
@@ -115,12 +116,12 @@
     def _apply(self, now: dict, revision: int, feed: tuple) -> tuple:
         mine = now["mine"]
         skipped = now["skipped"]
-        next_one = revision == mine + 1
+        applies = revision == mine + 1
         if self.fault == "lower-revision-applied":
-            next_one = next_one or revision < mine
+            applies = applies or revision < mine
         if self.fault == "gap-applied" and revision > mine + 1:
-            next_one, skipped = True, 1
-        if not next_one:
+            applies, skipped = True, 1
+        if not applies:
             return self._step("drop feed", now, feed=feed)
         return self._step(
             "apply feed",
@@ -132,11 +133,11 @@
         )
 
 
-def _never_back(now: dict) -> bool:
+def _never_reverts(now: dict) -> bool:
     return not now["ready"] or now["mine"] >= now["best"]
 
 
-def _fresh_when_served(now: dict) -> bool:
+def _serves_only_accepted(now: dict) -> bool:
     return now["mine"] <= now["committed"]
 
 
@@ -145,10 +146,10 @@
 
 
 def protocol(fault: str = "") -> minicheck.Protocol:
-    """The model, or one of its mutants."""
+    """Return the model, or one of its mutants."""
     invariants = {
-        "never back": _never_back,
-        "nothing that was not accepted": _fresh_when_served,
+        "never reverts": _never_reverts,
+        "only accepted revisions are served": _serves_only_accepted,
         "no gap": _no_gap,
     }
     return minicheck.Protocol(
@@ -162,5 +163,5 @@
 
 
 def variants() -> dict[str, minicheck.Protocol]:
-    """The model as it is checked."""
+    """Return the checked models by name."""
     return {"all": protocol()}
