--- a/lab/baselines.py
+++ b/lab/baselines.py
@@ -1,9 +1,7 @@
-"""The policies that the product is compared with.
+"""Baseline policies for the bench.
 
-Each is set up as an operator would: the queue in front of an engine is
-bounded at the length that gave it the most goodput at load 1.3 (see
-docs/MEASUREMENTS.md), and it gets the entry's own retries, avoidance of
-broken endpoints and checks of answers.
+A baseline bounds the queue at each engine (see docs/MEASUREMENTS.md), and
+uses the entry's retries, health tracking and checks of answers.
 """
 
 from typing import Collection
@@ -19,10 +17,9 @@
 
 
 class EngineQueueLedger(reservations.EndpointLedger):
-    """Takes any work at once and leaves the queueing to the engine.
+    """Admits all work immediately and leaves queueing to the engine.
 
-    Work is refused only when the queue at the engine is longer than
-    `queue_limit` requests.
+    Refuses work only if the engine's queue has `queue_limit` requests.
     """
 
     def __init__(
@@ -42,7 +39,7 @@
     def reserve(
         self, msg: messages.Reserve, key: slots.AttemptKey, now: float
     ) -> reservations.ReservationTerms | types.Refusal:
-        """Take the work unless the queue is full."""
+        """Admit the work unless the queue is full."""
         if self.leaving:
             return types.Refusal.LEAVING
         if msg.part is not self.role:
@@ -57,12 +54,12 @@
         return reservations.ReservationTerms(0.0, 0)
 
     def mark_ready(self, key: slots.AttemptKey) -> None:
-        """Hand it over at once."""
+        """Queue the attempt to start."""
         if key in self._cost:
             self._ready.append(key)
 
     def next_start(self, now: float) -> slots.AttemptKey | None:
-        """The oldest that is ready."""
+        """Return the attempt that has been ready longest."""
         while self._ready:
             key = self._ready.pop(0)
             if key in self._cost:
@@ -72,29 +69,29 @@
     def record_progress(
         self, key: slots.AttemptKey, done: int, step_s: float, now: float
     ) -> None:
-        """Follow the time between tokens."""
+        """Update the average time between tokens."""
         if done > 1:
             self._step_s += 0.02 * (step_s - self._step_s)
 
     def record_prefill(self, key: slots.AttemptKey, took_s: float) -> None:
-        """Nothing is learned."""
+        """Do nothing: this ledger learns no prefill times."""
 
     def release(
         self, key: slots.AttemptKey, now: float, *, completed: bool
     ) -> None:
-        """The attempt is over."""
+        """Remove an ended attempt."""
         self._cost.pop(key, None)
 
     def engine_queue_s(self, now: float) -> float:
-        """The engine queues whatever it was given."""
+        """Estimate the engine's queueing delay in seconds."""
         if self.role is types.Role.PREFILL:
             return sum(self._cost.values())
-        # A slot frees when an answer of common length has ended.
+        # Roughly the duration of a typical answer.
         waiting = max(0, len(self._cost) - self.spec.slots)
         return 10.0 if waiting else 0.0
 
     def load(self, now: float) -> messages.Load:
-        """What is outstanding at the engine."""
+        """Return the work that is outstanding at the engine."""
         return messages.Load(
             role=self.role,
             revision=self.revision,
@@ -110,7 +107,7 @@
 
 
 class _IndependentPolicy(placement.Policy):
-    """Chooses the two halves one after the other."""
+    """Chooses the prefill and the decode endpoint independently."""
 
     def place(
         self,
@@ -131,7 +128,7 @@
 
     def _prefill(
         self,
-        ask: endpoint_view.Requirements,
+        requirements: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> endpoint_view.EndpointView:
@@ -144,14 +141,14 @@
 
 
 class RoundRobin(_IndependentPolicy):
-    """Each endpoint in its turn."""
+    """Chooses the endpoints in turn."""
 
     def __init__(self) -> None:
         self._turn = 0
 
     def _prefill(
         self,
-        ask: endpoint_view.Requirements,
+        requirements: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> endpoint_view.EndpointView:
@@ -165,11 +162,11 @@
 
 
 class LeastLoaded(_IndependentPolicy):
-    """The least work outstanding."""
+    """Chooses the endpoint with the least outstanding work."""
 
     def _prefill(
         self,
-        ask: endpoint_view.Requirements,
+        requirements: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> endpoint_view.EndpointView:
@@ -177,19 +174,22 @@
 
 
 class PrefixCost(_IndependentPolicy):
-    """The paper's cost: uncached prefill, transfer and queue (PAPER)."""
+    """Minimises the cost of uncached prefill, transfer and queue."""
 
     def _prefill(
         self,
-        ask: endpoint_view.Requirements,
+        requirements: endpoint_view.Requirements,
         pool: list[endpoint_view.EndpointView],
         now: float,
     ) -> endpoint_view.EndpointView:
         def cost(view: endpoint_view.EndpointView) -> float:
-            cached = view.prefix_hints.match(ask.blocks) * prefix.BLOCK_TOKENS
-            rest = max(1, ask.prompt_tokens - cached)
+            cached = (
+                view.prefix_hints.match(requirements.blocks)
+                * prefix.BLOCK_TOKENS
+            )
+            rest = max(1, requirements.prompt_tokens - cached)
             queue = view.backlog_s(now)
-            transfer = ask.kv_bytes / view.load.link_bytes_s
+            transfer = requirements.kv_bytes / view.load.link_bytes_s
             return rest / view.load.prefill_tokens_s + transfer + queue
 
         return min(pool, key=cost)
--- a/lab/bench.py
+++ b/lab/bench.py
@@ -1,7 +1,7 @@
-"""The bench of the decisions: python -m lab.bench [--quick].
+"""Benchmarks the placement policies: python -m lab.bench [--quick].
 
-Runs all cases in virtual time, several at once, and writes
-build/bench.json, a table and build/bench.png.
+Runs all cases in virtual time on several cores, prints a table and writes
+build/bench.json and build/bench.png.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 
 
 def plan(*, quick: bool, seeds: int) -> list[cases.Case]:
-    """The cases to run."""
+    """Return the cases to run."""
     rows = [("1.3", "none")] if quick else [(load, "none") for load in _LOADS]
     if not quick:
         rows += [("1.0", fault) for fault in _FAULTS]
@@ -64,7 +64,7 @@
 
 
 def table(results: list[cases.Result]) -> str:
-    """Medians over the seeds; ratios are those of this run."""
+    """Return a table of medians over the seeds."""
     lines = [
         f"{'deployment':<11}{'load':<11}{'fault':<14}{'policy':<15}"
         f"{'goodput':>8}{'/bound':>7}{'rush':>6}{'wasted':>8}{'not run':>8}"
@@ -94,7 +94,7 @@
 
 
 def plot(results: list[cases.Result], path: pathlib.Path) -> None:
-    """Goodput by case and policy, with the bound, as a picture."""
+    """Plot goodput by case and policy, with the bound, to a file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -131,7 +131,7 @@
 
 
 def main() -> None:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--seeds", type=int, default=0)
--- a/lab/cases.py
+++ b/lab/cases.py
@@ -1,4 +1,4 @@
-"""One case of the bench: a deployment, a load, a fault, a policy, a seed."""
+"""Runs one bench case: a deployment, load, fault, policy and seed."""
 
 import asyncio
 import collections
@@ -22,17 +22,17 @@
 from rackpost import types
 
 SPEC = engine.EngineSpec()
-# Requests are counted from WARM_S to SECONDS of virtual time.
+# Requests between WARM_S and SECONDS of virtual time are counted.
 WARM_S = 3.0
 SECONDS = 23.0
 FAULT_AT = 8.0
 BURST_AT = 8.0
 BURST_S = 6.0
-# The rush's rate, as a share of all that the engines can carry.
+# The burst's rate as a fraction of the engines' capacity.
 BURST_SHARE = 0.4
 CALLER_DELAY_S = 0.003
-# How much too late an event was declared to start, in seconds, and its
-# declared rate over the true one.
+# Declared start minus the true start of an event, in seconds, and its
+# declared rate over the true rate.
 _DECLARED = {
     "declared": (0.0, 1.0),
     "declared-late": (4.0, 1.0),
@@ -40,19 +40,18 @@
     "declared-half": (0.0, 0.5),
     "declared-none": (0.0, 1.0),
 }
-# Callers of each kind, who ask for about the same.
+# Callers of each kind.
 _CALLERS = 8
 PRODUCT = "product"
-# Baselines queue within the engine, where a lease would only cut them.
+# Baselines have a longer lease, since they queue within the engine.
 _LEASE_S = 1.0
-# Requests that a prefill engine is given at once, tuned per deployment: of
-# 2, 3, 4 and 6 the one with the most goodput at load 1.3.
+# Concurrent requests at a prefill engine, by deployment, for baselines.
 _PREFILL_LIMITS = {"fjordvik": 4, "pentagrama": 2}
 _DECODE_QUEUE = 4
 
 
 class Case(NamedTuple):
-    """What is run; `load` is a factor, or `declared` or `undeclared`."""
+    """A case; `load` is a factor, `undeclared` or a key of `_DECLARED`."""
 
     deployment: str
     load: str
@@ -62,7 +61,7 @@
 
 
 class Answer(NamedTuple):
-    """What one caller saw."""
+    """The outcome of one request, as its caller observed it."""
 
     offer: workload.Offer
     outcome: types.Outcome | None
@@ -74,7 +73,7 @@
 
 
 class Result(NamedTuple):
-    """What a case came to; the names are those of build/bench.json."""
+    """The result of a case, with the field names of build/bench.json."""
 
     deployment: str
     load: str
@@ -98,7 +97,7 @@
 
 
 def full_rate(deployment: workload.Deployment) -> float:
-    """Requests a second that the engines can carry: load 1.0."""
+    """Return the engines' capacity in requests a second: load 1.0."""
     offers = workload.schedule(deployment, rate=50.0, seconds=60.0, seed=0)
     spent = [workload.costs(offer, SPEC) for offer in offers]
     prefill = sum(item.prefill_s for item in spent) / len(spent)
@@ -110,11 +109,11 @@
 
 
 def offers_of(case: Case) -> list[workload.Offer]:
-    """The schedule of a case."""
+    """Return the schedule of a case."""
     deployment = workload.DEPLOYMENTS[case.deployment]
     rate = full_rate(deployment)
     if case.load in _DECLARED or case.load == "undeclared":
-        rush = 0.0 if case.load == "declared-none" else BURST_SHARE
+        burst = 0.0 if case.load == "declared-none" else BURST_SHARE
         return workload.schedule(
             deployment,
             rate=0.6 * rate,
@@ -122,7 +121,7 @@
             seed=case.seed,
             burst_at=BURST_AT,
             burst_s=BURST_S,
-            burst_rate=rush * rate,
+            burst_rate=burst * rate,
         )
     return workload.schedule(
         deployment,
@@ -133,25 +132,25 @@
 
 
 def counted(offers: Iterable[workload.Offer]) -> list[workload.Offer]:
-    """The requests that count: those after the warm-up."""
+    """Return the requests after the warm-up."""
     return [offer for offer in offers if offer.at >= WARM_S]
 
 
 def bound(
     offers: list[workload.Offer], deployment: workload.Deployment
 ) -> float:
-    """The most goodput that any policy could reach, as a share.
+    """Return an upper bound on the goodput of any policy, as a fraction.
 
-    The dual of the linear programme that picks requests within the
-    prefill seconds and slot seconds that there are: each pair of prices
-    gives an upper bound, the least of them is taken.
+    It is the least value, over a grid of prices, of the dual of the linear
+    programme that selects requests within the available prefill seconds and
+    slot seconds.
     """
     if not offers:
         return 1.0
     slack = max(offer.kind.ttft_s for offer in offers)
     span = SECONDS - WARM_S + slack
-    room_p = deployment.prefills * span
-    room_s = deployment.decodes * SPEC.slots * span
+    prefill_capacity_s = deployment.prefills * span
+    slot_capacity_s = deployment.decodes * SPEC.slots * span
     spent = [workload.costs(offer, SPEC) for offer in offers]
 
     def dual(price_p: float, price_s: float) -> float:
@@ -159,7 +158,7 @@
             max(0.0, 1 - price_p * item.prefill_s - price_s * item.slot_s)
             for item in spent
         )
-        return price_p * room_p + price_s * room_s + gain
+        return price_p * prefill_capacity_s + price_s * slot_capacity_s + gain
 
     best = float(len(offers))
     for step_p in range(0, 60):
@@ -243,7 +242,7 @@
         return baselines.PrefixCost()
 
     async def run(self) -> Result:
-        """Send the schedule, bring the fault about, sum up."""
+        """Send the schedule, inject the fault and return the result."""
         loop = asyncio.get_running_loop()
         fault = asyncio.create_task(self._fault())
         tasks = []
@@ -287,7 +286,7 @@
             return
         while not task.done():
             if entry not in self.site.entries:
-                # The entry died: the caller sees its connection end.
+                # The entry's death closes the caller's connection.
                 task.cancel()
             await asyncio.wait([task], timeout=0.5)
         if task.cancelled():
@@ -358,7 +357,7 @@
             )
         )
 
-    # The sum.
+    # Summary.
 
     def _summarise(self) -> Result:
         answers = [
@@ -380,12 +379,12 @@
         not_run = [
             item for item in answers if item.outcome is types.Outcome.NOT_RUN
         ]
-        rush = [
+        burst = [
             item
             for item in answers
             if item.offer.kind.name == self.deployment.burst_kind
         ]
-        rushed = sum(1 for item in rush if _good(item))
+        burst_good = sum(1 for item in burst if _good(item))
         kinds: dict[str, float] = {}
         for kind in self.deployment.kinds:
             mine = [item for item in answers if item.offer.kind == kind]
@@ -403,7 +402,7 @@
             unknown=len(unknown),
             wrong=len(wrong),
             not_run_ran=sum(1 for item in not_run if self._ran(item)),
-            rush_goodput=round(rushed / max(1, len(rush)), 4),
+            rush_goodput=round(burst_good / max(1, len(burst)), 4),
             bound=round(
                 bound([item.offer for item in answers], self.deployment), 4
             ),
@@ -421,8 +420,7 @@
         return bool(ledger.runs[req] or ledger.prefilled_for(req))
 
     def _wasted(self) -> float:
-        # Of a request that was answered, what was prefilled last reached
-        # the caller; all other prefilled tokens did not.
+        # Only the last prefill of an answered request was useful.
         reached = {
             f"r{item.offer.number}"
             for item in self.answers
@@ -448,7 +446,7 @@
 
 
 def run_case(case: Case) -> Result:
-    """Run one case; the same case gives the same result."""
+    """Run one case; runs are deterministic."""
 
     async def main() -> Result:
         bench = Bench(case=case)
--- a/lab/compare_sites.py
+++ b/lab/compare_sites.py
@@ -1,9 +1,8 @@
-"""Two working copies on the same days: python -m lab.compare_sites.
+"""Compares two working copies on the same days: python -m lab.compare_sites.
 
-Plays each site, day and seed on both copies in turn, with a bench that is
-named on the command line, and prints the mean worth, its spread and the
-paired difference, by day and by part and price.  A copy's own journal
-keeps the entries.
+Runs each site, day and seed on both copies with the bench named on the
+command line, and prints the mean score, the paired difference and its
+standard error, by day and by part and price.
 """
 
 import argparse
@@ -17,16 +16,16 @@
 from typing import NamedTuple
 from typing import Sequence
 
-# Days played at one time; each takes about one core.
+# Concurrent runs; each takes about one core.
 _JOBS = 4
-# A day that takes longer has hung, in seconds.
+# A run that takes longer has hung.
 _TIMEOUT_S = 300.0
-# Parts and prices whose means differ by less are left out of the table.
+# Parts and prices whose means differ by less are omitted from the table.
 _MIN_DIFFERENCE = 0.003
 
 
 class Day(NamedTuple):
-    """One day to be played."""
+    """A day of a site to run, with its seed."""
 
     site: str
     name: str
@@ -34,29 +33,33 @@
 
 
 class DayResult(NamedTuple):
-    """What came of a day."""
+    """The score and figures of a day."""
 
-    worth: float
-    # Parts as they are, prices as they are taken off.
+    score: float
+    # Parts of the score; prices are negative.
     figures: dict[str, float]
     broken: tuple[str, ...]
 
 
 class BenchError(Exception):
-    """The bench gave no figures for a day."""
+    """The bench wrote no report for a day."""
 
 
 def read_report(text: str) -> DayResult:
-    """The figures of one day's report."""
+    """Parse the report of one day."""
     raw = json.loads(text)
     figures = {name: value for name, _weight, value in raw["parts"]}
     figures.update({name: -cost for name, _amount, cost in raw["prices"]})
     broken = tuple(raw.get("rules") or ())
-    return DayResult(worth=raw["G"], figures=figures, broken=broken)
+    return DayResult(score=raw["G"], figures=figures, broken=broken)
 
 
 def play(bench: str, copy: pathlib.Path, day: Day, why: str) -> DayResult:
-    """Play a day on a working copy; BenchError if there is no report."""
+    """Run a day on a working copy.
+
+    Raises:
+        BenchError: the bench wrote no report.
+    """
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         line = [bench, "run", day.site, day.name, "--why", why]
         line += ["--report", report.name]
@@ -90,20 +93,20 @@
     before: Sequence[DayResult],
     after: Sequence[DayResult],
 ) -> Iterator[str]:
-    """The lines of the comparison."""
+    """Yield the lines of the comparison."""
     yield f"{'':44} {'before':>7} {'after':>7} {'paired':>7} error"
     groups = sorted({(day.site, day.name) for day in days})
     for group in groups:
         at = [i for i, day in enumerate(days) if day[:2] == group]
         yield _line(
             f"{pathlib.Path(group[0]).stem} {group[1]}",
-            [before[i].worth for i in at],
-            [after[i].worth for i in at],
+            [before[i].score for i in at],
+            [after[i].score for i in at],
         )
     yield _line(
         f"all {len(days)} days",
-        [item.worth for item in before],
-        [item.worth for item in after],
+        [item.score for item in before],
+        [item.score for item in after],
     )
     for name in before[0].figures:
         old = [item.figures.get(name, 0.0) for item in before]
--- a/lab/control_load.py
+++ b/lab/control_load.py
@@ -1,7 +1,7 @@
-"""What control carries: python -m lab.control_load.
+"""Measures the throughput of control replicas: python -m lab.control_load.
 
-Replicas with real disks and links, watchers and claimers, all in this one
-process on loopback, so that the figures are lower bounds.
+Replicas with real disks and links, watchers and claimers share this process,
+so the throughputs are lower bounds.
 """
 
 import asyncio
@@ -84,7 +84,7 @@
 
 
 async def changes(site: demo_site.DemoSite) -> None:
-    """Changes a second: one after the other, and sixteen at once."""
+    """Print changes a second: sequential, and sixteen concurrent."""
     node = (await _leader(site)).node
     began = time.perf_counter()
     for number in range(_CHANGES):
@@ -100,19 +100,19 @@
 
 
 async def claims(site: demo_site.DemoSite) -> None:
-    """Claims a second, settled, from several entries in batches."""
+    """Print claims a second, each settled, from several entries."""
     clients = [_client(site, f"claimer{idx}") for idx in range(_CLAIMERS)]
     async with _running(clients):
-        keepers = [
+        claim_clients = [
             control_claims.ControlClaims(client=item, now=time.time)
             for item in clients
         ]
-        tasks = [asyncio.create_task(item.run()) for item in keepers]
+        tasks = [asyncio.create_task(item.run()) for item in claim_clients]
         stop = time.perf_counter() + _CLAIM_S
         times: list[float] = []
 
         async def caller(idx: int) -> None:
-            keeper = keepers[idx % _CLAIMERS]
+            claim_client = claim_clients[idx % _CLAIMERS]
             turn = 0
             while time.perf_counter() < stop:
                 turn += 1
@@ -124,10 +124,10 @@
                 )
                 key = types.ClaimKey(f"{idx}-{turn}")
                 began = time.perf_counter()
-                reply = await keeper.claim(key=key, holder=holder)
+                reply = await claim_client.claim(key=key, holder=holder)
                 assert reply.state is claims_mod.ClaimState.GRANTED
                 times.append(time.perf_counter() - began)
-                await keeper.settle(
+                await claim_client.settle(
                     key=key,
                     holder=holder,
                     state=claims_mod.ClaimState.ANSWERED,
@@ -149,10 +149,10 @@
 
 
 async def in_force(site: demo_site.DemoSite, count: int) -> None:
-    """Time from accepted to in force at all of `count` watchers."""
-    woken = asyncio.Event()
+    """Print the time from acceptance of a change to force at all watchers."""
+    changed = asyncio.Event()
     clients = [
-        _client(site, f"watcher{idx}", changed=woken.set)
+        _client(site, f"watcher{idx}", changed=changed.set)
         for idx in range(count)
     ]
     async with _running(clients):
@@ -166,8 +166,8 @@
             while any(
                 item.in_force.revision < result.revision for item in clients
             ):
-                woken.clear()
-                await woken.wait()
+                changed.clear()
+                await changed.wait()
             times.append(time.perf_counter() - began)
         cpu = time.process_time()
         await asyncio.sleep(5.0)
@@ -181,7 +181,7 @@
 
 
 async def restart(folder: pathlib.Path) -> None:
-    """Time to restart after ten thousand changes."""
+    """Print the time to load a replica's disk after 10,000 changes."""
     async with demo_site.running(folder) as site:
         await site.start_control(1)
         node = (await _leader(site)).node
@@ -203,7 +203,7 @@
 
 
 async def measure() -> None:
-    """Measure three and five replicas."""
+    """Run the measurements with three and with five replicas."""
     for replicas in (3, 5):
         with tempfile.TemporaryDirectory() as name:
             async with demo_site.running(pathlib.Path(name)) as site:
--- a/lab/documents.py
+++ b/lab/documents.py
@@ -1,10 +1,9 @@
-"""What large routing documents cost: python -m lab.documents.
+"""Measures the cost of large routing documents: python -m lab.documents.
 
-Prints bytes, and milliseconds of one whole core, for documents of several
-sizes, and for one key more of many organisations: the document as operators
-send it, the whole and a change as gateways are sent them, and what
-coordinators and gateways take for them.  The names
-of routes are random, as operators' tools make them.
+Prints sizes in bytes and CPU times in milliseconds for documents of several
+sizes: as operators send them, as complete documents and changes between
+coordinators and gateways, and when a key is added to many organisations.
+Route names are random, like those of operators' tools.
 """
 
 import json
@@ -20,7 +19,7 @@
 _SIZES = (1400, 2800, 4200)
 _ADDED = 1400
 _ROUNDS = 7
-# The organisations of the size to come, with two keys each.
+# Each organisation has two keys.
 _ORGANISATIONS = 630
 _KEYED_ROUTES = 40
 _SERVICE = {"name": "plain", "maxConnections": 100}
@@ -61,7 +60,7 @@
     routes: list[dict[str, object]],
     organisations: list[dict[str, object]] | None = None,
 ) -> bytes:
-    """A document as an operator sends it."""
+    """Return a document as an operator sends it."""
     doc: dict[str, object] = {
         "version": version,
         "routes": routes,
@@ -74,7 +73,7 @@
 
 
 def best_ms(what: Callable[[], object]) -> float:
-    """The least time of some rounds, in milliseconds."""
+    """Return the least time of several rounds, in milliseconds."""
     took = []
     for _ in range(_ROUNDS):
         began = time.perf_counter()
@@ -105,7 +104,7 @@
 
 
 def _print_keys(rng: random.Random) -> None:
-    """What one key more of many organisations costs."""
+    """Print the cost of an additional key with many organisations."""
     routes = [_route(rng) for _ in range(_KEYED_ROUTES)]
     held = [_organisation(rng) for _ in range(_ORGANISATIONS)]
     reader = documents.IncrementalDecoder()
@@ -125,7 +124,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print them."""
     rng = random.Random(1)
     routes = [_route(rng) for _ in range(max(_SIZES) + _ADDED)]
     for size in _SIZES:
--- a/lab/drill.py
+++ b/lab/drill.py
@@ -1,8 +1,8 @@
-"""Real processes under load, kills and pauses: python -m lab.drill.
+"""Fault-injection test with real processes: python -m lab.drill.
 
-Callers send what must run at most once, and resend when an answer is
-lost; meanwhile processes are killed, restarted, paused and stopped as
-planned.  Each promise is checked against what the endpoints ran.
+Callers send requests that must run at most once, and resend them if an answer
+is lost.  Meanwhile processes are killed, restarted, paused and shut down.
+Each promise is checked against the endpoints' own records.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 
 
 class SendResult(NamedTuple):
-    """One sending of a request, as its caller saw it."""
+    """The result of sending a request once, as its caller observed it."""
 
     key: str
     request_id: str
@@ -40,7 +40,7 @@
 
 
 class Drill:
-    """Load, faults, and what was seen."""
+    """Runs the load and the faults, and records the results."""
 
     def __init__(self, *, site: procs.Site, seconds: float) -> None:
         self.site = site
@@ -53,7 +53,7 @@
         self.rng = random.Random(7)
 
     async def run(self) -> None:
-        """Drive everything to its end."""
+        """Run load, faults and changes of settings to completion."""
         timeout = aiohttp.ClientTimeout(total=15.0)
         async with aiohttp.ClientSession(
             timeout=timeout, connector=aiohttp.TCPConnector(limit=0)
@@ -119,7 +119,7 @@
                 word = str(found.get("outcome"))
                 return SendResult(key, request_id, word, True, once)
         except (aiohttp.ClientError, TimeoutError):
-            # The caller can't tell: it resends under the same key.
+            # The outcome is unknown: the caller resends with the same key.
             return SendResult(key, request_id, "lost", True, once)
 
     # Faults.
@@ -165,7 +165,7 @@
         await self._kill(await self._leader())
 
     async def _kill_two(self) -> None:
-        # A second one is lost right after a repair.
+        # Lose a second replica right after the first is repaired.
         await self._kill_leader()
         await self._kill_leader()
         self.faults += 1
@@ -183,7 +183,7 @@
         await self._restart(name)
 
     async def _stop_entry(self, name: str) -> None:
-        """A planned stop: its callers get all they have asked for."""
+        """Shut down an entry; its open requests must be answered."""
         url = self.site.entry_urls.pop(name)
         async with aiohttp.ClientSession() as session:
             tasks = [
@@ -216,13 +216,13 @@
                 f"{url}/v1/completions", json=body, headers=headers
             ) as resp:
                 await resp.read()
-                # A refusal is an answer too; only a cut is not.
+                # A refusal counts as an answer.
                 return True
         except aiohttp.ClientError:
             return False
 
     async def _change(self) -> None:
-        """Change settings all the while; each must be in force in 7 s."""
+        """Change settings repeatedly; count changes that are late."""
         based_on = 0
         began = time.monotonic()
         while time.monotonic() - began < self.seconds - 7.0:
@@ -243,22 +243,22 @@
         return sum(
             1
             for item in status["members"]
-            # A process that has just started serves nobody yet.
+            # A process with revision 0 does not serve yet.
             if item["revision"]
             and item["silent_s"] < 2.5
             and item["revision"] < revision
         )
 
-    # What was promised.
+    # Checks.
 
     async def check(self) -> dict[str, tuple[int, int]]:
-        """For each promise, how often it was tried and broken."""
+        """Return how often each promise was tested and broken."""
         runs, held, spent = await self._read_ledgers()
         by_key: dict[str, list[SendResult]] = collections.defaultdict(list)
         for item in self.results:
             by_key[item.key].append(item)
-        # A run belongs to a key by the ids that its sendings were given;
-        # one whose id was lost with its answer can't be told apart.
+        # Runs are matched to keys by request id.  A run whose id was lost
+        # with its answer cannot be matched.
         answered = [
             item for item in self.results if item.outcome == "answered"
         ]
@@ -323,14 +323,14 @@
 
 
 async def drill(seconds: float) -> int:
-    """Run the drill; the number of broken promises."""
+    """Run the drill; return the number of broken promises."""
     with tempfile.TemporaryDirectory() as folder:
         async with procs.running(pathlib.Path(folder)) as site:
             await site.start_control(3)
             await site.start_endpoints(_DEPLOYMENT)
             for idx in range(2):
                 await site.start_entry(f"entry-{idx}")
-            # This machine also runs the callers and the engines.
+            # Allows for callers and engines on the same machine.
             await site.configure(_DEPLOYMENT, ttft_s=5.0)
             await site.wait_until_up()
             run = Drill(site=site, seconds=seconds)
--- a/lab/endpoint.py
+++ b/lab/endpoint.py
@@ -1,8 +1,8 @@
-"""Stand-in endpoints as a process: python -m lab.endpoint model 3 2.
+"""Serves simulated endpoints in one process: python -m lab.endpoint model 3.
 
-Serves that many prefill and decode engines, or plain services, each on a
-port of its own, and prints the ports on one line.  `GET /held` on the
-first port's neighbour, printed last, tells what is held and what ran.
+Starts that many engines or plain services, each on its own port, and prints
+the ports on one line.  `GET /held` on the last port reports which requests
+occupy memory and which ran.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
 
 
 class RunReport:
-    """What ran where, for the caller to check."""
+    """Reports what the endpoints hold and have run."""
 
     def __init__(self) -> None:
         self.ledger = engine.Ledger()
         self.engines: dict[str, engine.StandInEngine] = {}
 
     async def page(self, _: requests.Request) -> responses.Response:
-        """What is held, what ran and what was prefilled, by request."""
+        """Return held requests, and runs and prefilled tokens by request."""
         held = {req for item in self.engines.values() for req in item.held()}
         spent: dict[str, int] = {}
         for key, tokens in self.ledger.prefilled.items():
@@ -48,8 +48,8 @@
 
 
 async def serve(kind: str, count: int) -> None:
-    """Serve until told to stop."""
-    book = RunReport()
+    """Serve until a stop signal."""
+    report = RunReport()
     found = []
     async with contextlib.AsyncExitStack() as stack:
         for idx in range(count):
@@ -58,14 +58,14 @@
                 standin = engine.StandInEngine(
                     name=f"g{idx}",
                     spec=engine.EngineSpec(),
-                    peers=book.engines,
+                    peers=report.engines,
                     rng=random.Random(idx),
-                    ledger=book.ledger,
+                    ledger=report.ledger,
                 )
                 app = engine_http.EngineApp(standin=standin).app
             else:
                 app = engine_http.plain_app(
-                    plain.StandInPlain(ledger=book.ledger)
+                    plain.StandInPlain(ledger=report.ledger)
                 )
             found.append(
                 await stack.enter_async_context(
@@ -73,7 +73,7 @@
                 )
             )
         pages = applications.Starlette(
-            routes=[routing.Route("/held", book.page)]
+            routes=[routing.Route("/held", report.page)]
         )
         found.append(
             await stack.enter_async_context(
--- a/lab/history.py
+++ b/lab/history.py
@@ -1,7 +1,7 @@
-"""Concurrent runs of real replicas, checked: python -m lab.history.
+"""Checks histories of control replicas under faults: python -m lab.history.
 
-Operators write and read, entries claim and settle, while replicas are
-killed, restarted and cut off.  Each seed is one run in virtual time.
+Operators write and read, and entries claim and settle, while replicas are
+killed, restarted and isolated.  Each seed is one run in virtual time.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 
 class Run:
-    """One run: clients, faults, and the history that they leave."""
+    """One run: its clients, faults and recorded history."""
 
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -36,7 +36,7 @@
         self._number = 0
 
     async def run(self) -> list[str]:
-        """Run to the end; what is wrong with the history."""
+        """Run to completion; return the violations in the history."""
         faults = asyncio.create_task(self._faults())
         clients = [self._operator(idx) for idx in range(_OPERATORS)]
         clients += [self._entry(idx) for idx in range(_ENTRIES)]
@@ -50,7 +50,7 @@
     async def _commit(
         self, cmd: commands.AnyCommand
     ) -> commands.Result | None:
-        # As over a link: to any replica, and the answer may be lost.
+        # Any replica may be used, and the reply may be lost.
         if not self.group.up:
             return None
         name = self.rng.choice(sorted(self.group.up))
@@ -184,7 +184,7 @@
     async def _kill(self, name: str) -> None:
         self.group.kill(name)
         if self.rng.random() < 0.3:
-            # A second one goes right after; no quorum is left.
+            # Lose the quorum shortly afterwards.
             second = self.rng.choice(sorted(self.group.up))
             await asyncio.sleep(self.rng.uniform(0.0, 0.5))
             self.group.kill(second)
@@ -200,7 +200,7 @@
 
 
 def run_seed(seed: int) -> tuple[int, int, int, list[str]]:
-    """One run: the seed, how much was checked, and what is wrong."""
+    """Return the seed, accepted writes, claim events and violations."""
 
     async def main() -> tuple[int, int, int, list[str]]:
         run = Run(seed=seed)
@@ -212,7 +212,7 @@
 
 
 def main() -> None:
-    """Run many seeds."""
+    """Run and check all seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=200)
     args = parser.parse_args()
--- a/lab/linear.py
+++ b/lab/linear.py
@@ -1,16 +1,16 @@
 """Checks histories of settings and of claims.
 
-Accepted writes are numbered by their revisions, so a history of them is
-linearizable if those numbers agree with real time: no search is needed.
+Accepted writes are numbered by their revisions.  A history is linearizable
+if these numbers agree with real time, so no search is needed.
 """
 
 from typing import NamedTuple
 
 
 class WriteRecord(NamedTuple):
-    """A write: when it was asked and answered, and its revision.
+    """A write: the times of its request and reply, and its revision.
 
-    `end` and `revision` are None for one whose result was never learned.
+    `end` and `revision` are None if the result is unknown.
     """
 
     path: str
@@ -32,7 +32,7 @@
 
 
 class ClaimRecord(NamedTuple):
-    """A claim that was granted, sealed or answered, in real time."""
+    """A change of a claim (granted, sealed or answered) in real time."""
 
     key: str
     holder: str
@@ -44,7 +44,7 @@
 def check_writes(
     writes: list[WriteRecord], reads: list[ReadRecord]
 ) -> list[str]:
-    """What is wrong with a history of settings; nothing if it is well."""
+    """Return the violations in a history of settings."""
     known = [item for item in writes if item.revision is not None]
     faults = []
     revisions = [item.revision for item in known]
@@ -66,13 +66,13 @@
                 if one.revision > two.revision:
                     faults.append(
                         f"{one.revision} was accepted before "
-                        f"{two.revision} was asked"
+                        f"{two.revision} was requested"
                     )
     return faults
 
 
 def _check_chain(known: list[WriteRecord]) -> list[str]:
-    """Of two writes of a node based on one revision, one may win."""
+    """Report writes of one node that succeeded on the same revision."""
     seen: dict[tuple[str, int], int] = {}
     faults = []
     for item in known:
@@ -102,7 +102,7 @@
         if item.value != read.value:
             return [f"a read saw {read.value} at {read.revision}"]
         if item.start > read.end:
-            return [f"a read saw {read.revision} before it was asked"]
+            return [f"a read saw {read.revision} before it was requested"]
         return []
     unknown = [
         item
@@ -110,12 +110,12 @@
         if item.revision is None and item.value == read.value
     ]
     if not unknown:
-        return [f"a read saw {read.value}, which nobody wrote"]
+        return [f"a read saw {read.value}, which was never written"]
     return []
 
 
 def check_claims(events: list[ClaimRecord]) -> list[str]:
-    """What is wrong with a history of claims."""
+    """Return the violations in a history of claims."""
     faults = []
     by_key: dict[str, list[ClaimRecord]] = {}
     for item in events:
--- a/lab/measure.py
+++ b/lab/measure.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of one piece of work, and lines through them."""
+"""Measures CPU time and memory, and fits lines through the results."""
 
 import gc
 import statistics
@@ -7,12 +7,12 @@
 from typing import Callable
 from typing import NamedTuple
 
-# The least of so many runs counts: what else the machine does only adds.
+# The fastest run counts, since other load on the machine only adds time.
 _RUNS = 5
 
 
 class Line(NamedTuple):
-    """A fitted line: cost at nothing, cost for each, error of the fit."""
+    """A fitted line: base cost, cost per item, error of the fit."""
 
     base: float
     slope: float
@@ -20,7 +20,7 @@
 
 
 def fit(points: list[tuple[float, float]]) -> Line:
-    """The least-squares line, and its root mean square error."""
+    """Return the least-squares line and its root mean square error."""
     xs = [x for x, _ in points]
     ys = [y for _, y in points]
     slope, base = statistics.linear_regression(xs, ys)
@@ -29,7 +29,7 @@
 
 
 def calibration() -> float:
-    """Seconds for a fixed loop of this interpreter."""
+    """Return the CPU seconds of a fixed loop, to compare machines."""
     times = []
     for _ in range(_RUNS):
         began = time.process_time()
@@ -41,7 +41,7 @@
 
 
 def cpu_of(work: Callable[[], None]) -> float:
-    """The least processor time of a few runs, in seconds."""
+    """Return the least CPU time of several runs, in seconds."""
     times = []
     for _ in range(_RUNS):
         gc.collect()
@@ -52,7 +52,7 @@
 
 
 def memory_of(make: Callable[[], object]) -> int:
-    """Bytes that what `make` gives holds."""
+    """Return the memory of the object that `make` returns, in bytes."""
     gc.collect()
     tracemalloc.start()
     held = make()
--- a/lab/overhead.py
+++ b/lab/overhead.py
@@ -1,8 +1,8 @@
-"""What entry and agent add to the engines: python -m lab.overhead.
+"""Measures the overhead of entry and agents: python -m lab.overhead.
 
-Real processes on loopback.  The same requests go to the stand-in engines
-directly (a prefill, then a decode) and through entry and agents, in
-turn, with fifty streams open; the differences are from one run.
+Real processes on loopback.  The same requests go to the simulated engines
+directly (a prefill, then a decode) and through entry and agents, alternately,
+without and with fifty open streams.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 
 _OPEN = 50
 _ROUNDS = 80
-# Short answers are compared; longer ones keep the streams open.
+# Answer limits in tokens: of compared requests, and of background streams.
 _SHORT = 4
 _LONG = 60
 _DEPLOYMENT = workload.SHORT_PROMPTS._replace(prefills=2, decodes=4, plains=1)
 
 
 class Timing(NamedTuple):
-    """Seconds to the first token and to the end, and tokens."""
+    """Seconds to the first token and to the end, and number of tokens."""
 
     first_s: float
     whole_s: float
@@ -57,7 +57,7 @@
 async def through(
     session: aiohttp.ClientSession, url: str, n: int, tokens: int = _SHORT
 ) -> Timing | None:
-    """One request through the entry; None if it was refused."""
+    """Send a request through the entry; return None if it is refused."""
     headers = {
         "Authorization": f"Bearer {procs.KEY}",
         "X-Rackpost-Kind": "fast",
@@ -74,7 +74,7 @@
 async def direct(
     session: aiohttp.ClientSession, pre: str, dec: str, n: int
 ) -> Timing:
-    """The same request, sent to the engines themselves."""
+    """Send a request directly to the engines."""
     name = {"X-Request-Id": f"direct-{n}-{secrets.token_hex(4)}.1"}
     body = _body(False, n)
     body["kv_transfer_params"] = {"do_remote_decode": True}
@@ -140,7 +140,7 @@
 
 
 async def measure() -> None:
-    """Measure, on a site of its own."""
+    """Run the measurements on a new site."""
     with tempfile.TemporaryDirectory() as folder:
         async with procs.running(pathlib.Path(folder)) as site:
             await site.start_control(3)
--- a/lab/procs.py
+++ b/lab/procs.py
@@ -1,7 +1,4 @@
-"""A site of real, separate processes on loopback.
-
-Every process is started here and ended here, by its own id.
-"""
+"""Runs a site as separate processes on loopback."""
 
 import asyncio
 import contextlib
@@ -28,7 +25,7 @@
 
 
 class Process:
-    """One process and the lines that it prints first."""
+    """A child process and the first line of its output."""
 
     def __init__(
         self, *, name: str, child: asyncio.subprocess.Process, line: str
@@ -38,18 +35,18 @@
         self.line = line
 
     def signal(self, number: int) -> None:
-        """Send a signal, if it still runs."""
+        """Send a signal if the process is running."""
         if self.child.returncode is None:
             os.kill(self.child.pid, number)
 
     def cpu_s(self) -> float:
-        """Processor time that it has used."""
+        """Return the CPU time used so far, in seconds."""
         text = pathlib.Path(f"/proc/{self.child.pid}/stat").read_text()
         fields = text.rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def memory_mb(self) -> float:
-        """Resident memory, in MB."""
+        """Return the resident memory in MiB."""
         path = pathlib.Path(f"/proc/{self.child.pid}/status")
         for line in path.read_text().splitlines():
             if line.startswith("VmRSS:"):
@@ -58,7 +55,7 @@
 
 
 class Site:
-    """Control, agents, entries and endpoints."""
+    """A site's control replicas, agents, entries and endpoints."""
 
     def __init__(self, *, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -87,11 +84,11 @@
         return found
 
     async def restart(self, name: str) -> Process:
-        """Start a process as it was started before."""
+        """Start a process again with its previous arguments."""
         return await self.start(name, *self.args[name])
 
     async def start_control(self, count: int) -> None:
-        """Make and start the control replicas."""
+        """Create and start the control replicas."""
         self._key.write_text(secrets.token_hex(16))
         self._operator_key.write_text(secrets.token_hex(16))
         names = [f"c{idx}" for idx in range(count)]
@@ -122,7 +119,7 @@
             )
 
     async def start_endpoints(self, deployment: workload.Deployment) -> None:
-        """Start stand-in endpoints and an agent beside each."""
+        """Start simulated endpoints and an agent for each."""
         roles = ["prefill"] * deployment.prefills
         roles += ["decode"] * deployment.decodes
         urls = await self._endpoints("model", len(roles))
@@ -171,7 +168,7 @@
     async def configure(
         self, deployment: workload.Deployment, **more: Any
     ) -> None:
-        """Write the settings of a deployment and its one caller."""
+        """Write the settings of a deployment and of its caller."""
         values = demo_site.service_settings(deployment)
         await self.write("", {**values, "max_open": 10_000, **more})
         hashed = hashlib.sha256(KEY.encode()).hexdigest()
@@ -180,7 +177,7 @@
     async def write(
         self, path: str, values: dict[str, Any], based_on: int = 0
     ) -> dict[str, Any]:
-        """Change a node, resending until there is an answer."""
+        """Change a node, retrying until a replica answers."""
         body = {
             "op": secrets.token_hex(8),
             "who": "drill",
@@ -197,7 +194,7 @@
     async def operate(
         self, path: str, body: dict[str, Any] | None
     ) -> dict[str, Any] | None:
-        """Ask the first replica that answers; None if none does."""
+        """Return the first replica's answer, or None if none answers."""
         key = self._operator_key.read_text()
         headers = {"Authorization": f"Bearer {key}"}
         timeout = aiohttp.ClientTimeout(total=5.0)
@@ -215,13 +212,13 @@
         return None
 
     async def wait_until_up(self) -> None:
-        """Wait until every entry answers a request of the caller."""
+        """Wait until every entry answers a request."""
         async with aiohttp.ClientSession() as session:
             for url in self.entry_urls.values():
                 await _answers(session, url)
 
     def close(self) -> None:
-        """Kill what still runs."""
+        """Kill all running processes."""
         for process in self.processes.values():
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGKILL)
@@ -247,7 +244,7 @@
 
 @contextlib.asynccontextmanager
 async def running(folder: pathlib.Path) -> AsyncIterator[Site]:
-    """An empty site; everything that it started is ended on leaving."""
+    """Provide an empty site and kill its processes at the end."""
     site = Site(folder=folder)
     try:
         yield site
--- a/lab/promises.py
+++ b/lab/promises.py
@@ -1,8 +1,7 @@
-"""Takes each mechanism out and sees its test fail: python -m lab.promises.
+"""Checks that each promise's test detects a fault: python -m lab.promises.
 
-For each line of 'What must always hold' there is a test, and the line of
-code that it rests on.  On a scratch copy of the tree that line is changed;
-the test must then fail.  The copy is removed at the end.
+Each promise has a test and a line of code that it depends on.  The line is
+changed in a temporary copy of the tree, and the test must then fail.
 """
 
 import pathlib
@@ -17,7 +16,7 @@
 
 
 class Mechanism(NamedTuple):
-    """A promise, its test, and what it rests on."""
+    """A promise, its test, and the code that it depends on."""
 
     promise: str
     test: str
@@ -113,7 +112,8 @@
     ),
     Mechanism(
         "An accepted configuration survives the loss of replicas",
-        "test_history.py::test_runs_with_kills_and_cuts_leave_a_good_history",
+        "test_history.py::test_runs_with_crashes_and_partitions_leave_a_valid"
+        "_history",
         "rackpost/control/node.py",
         "        if self._applied >= index:\n",
         "        if self._raft.applied >= index:\n",
@@ -143,8 +143,8 @@
     return done.returncode == 1
 
 
-def try_out(mechanism: Mechanism, root: pathlib.Path) -> bool:
-    """Take a mechanism out of the copy at `root`; True if it is missed."""
+def detects_removal(mechanism: Mechanism, root: pathlib.Path) -> bool:
+    """Whether the test fails without the mechanism in the copy at `root`."""
     path = root / mechanism.file
     text = path.read_text()
     if text.count(mechanism.line) != 1:
@@ -157,7 +157,7 @@
 
 
 def main() -> None:
-    """Try each mechanism."""
+    """Check each mechanism."""
     good = True
     with tempfile.TemporaryDirectory() as folder:
         root = pathlib.Path(folder)
@@ -165,9 +165,9 @@
             shutil.copytree(_ROOT / name, root / name)
         shutil.copy(_ROOT / "pyproject.toml", root)
         for mechanism in MECHANISMS:
-            missed = try_out(mechanism, root)
-            good = good and missed
-            word = "its test fails" if missed else "ITS TEST PASSES"
+            detected = detects_removal(mechanism, root)
+            good = good and detected
+            word = "its test fails" if detected else "ITS TEST PASSES"
             print(f"{mechanism.promise}: without it {word}", flush=True)
     sys.exit(0 if good else 1)
 
--- a/lab/quota_windows.py
+++ b/lab/quota_windows.py
@@ -1,7 +1,6 @@
-"""Ways to keep quotas by what was admitted in the window.
+"""Quota policies that count the units admitted in a sliding window.
 
-Gateways are built with buckets (`rackpost.decide.quota_buckets`); these
-are what was compared with them.
+They are alternatives to `rackpost.decide.quota_buckets`, which gateways use.
 """
 
 import collections
@@ -11,33 +10,31 @@
 from rackpost.routing import model
 from rackpost import types
 
-# A gateway that has told nothing for this long may serve on where it is not
-# heard, in seconds: figures are told each second.
+# A peer without a report for this long may still be serving elsewhere;
+# gateways report every second.
 _SILENT_AFTER_S = 1.3
-# Everything is told again after this long, in seconds, so that a lost
-# datagram and what has left the window are made good.
+# Complete reports make up for lost datagrams and expired units.
 _COMPLETE_REPORT_INTERVAL_S = 0.9
-# The part of what is not given out that those share who have just started.
+# The fraction of the reserve that recently started gateways share.
 _RECENT_START_FRACTION = 0.25
 
 
 class WindowReport(
     quota.QuotaReport, frozen=True, array_like=True, kw_only=True
 ):
-    """What a gateway tells others of what its clients have spent.
+    """A report of the units that a gateway has admitted in the window.
 
-    `spent` is within the window; `ended` the same of gateways that have
-    ended since, as it knows it.
+    `ended` holds the units of gateways that have ended, as far as known.
     """
 
     ended: dict[types.OrganisationName, int] = {}
 
 
 class WindowUsage:
-    """What one gateway has let pass, by organisation, over a window.
+    """The units that one gateway has admitted in the window.
 
-    What is admitted counts from then on, and leaves the window a window
-    after it was last sent to an endpoint: while it waits it does not age.
+    Units count from admission on, and expire one window after they were
+    last sent to an endpoint: units of waiting requests do not expire.
     """
 
     def __init__(self, *, window_s: float) -> None:
@@ -50,37 +47,37 @@
         )
 
     def reserve(self, name: types.OrganisationName, units: int) -> None:
-        """A request is admitted."""
+        """Record an admitted request."""
         self._totals[name] += units
 
     def cancel(self, name: types.OrganisationName, units: int) -> None:
-        """A request that was admitted has not run and won't."""
-        self._take_off(name, units)
+        """Record that an admitted request will not run."""
+        self._subtract(name, units)
 
     def sent(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """A request that was admitted is sent to an endpoint."""
+        """Record that an admitted request was sent to an endpoint."""
         found = self._sent.setdefault(name, collections.deque())
         found.append(_SentUnits(now, units))
 
     def not_run(
         self, name: types.OrganisationName, units: int, at: float
     ) -> None:
-        """What was sent at a reading has not run: it waits again."""
+        """Record that a request sent at time `at` did not run and waits."""
         try:
             self._sent[name].remove(_SentUnits(at, units))
         except (KeyError, ValueError):
-            # It has left the window since.
+            # The units have expired since.
             self.reserve(name, units)
 
     def recent(self, now: float) -> dict[types.OrganisationName, int]:
-        """What counts now, of each organisation that has spent any."""
+        """Return the units in the window of each organisation."""
         self._expire(now)
         return dict(self._totals)
 
     def of(self, name: types.OrganisationName, now: float) -> int:
-        """What counts now of one organisation."""
+        """Return the units in the window of one organisation."""
         self._expire(now)
         return self._totals[name]
 
@@ -88,18 +85,18 @@
         before = now - self._window_s
         for name, found in list(self._sent.items()):
             while found and found[0].at <= before:
-                self._take_off(name, found.popleft().units)
+                self._subtract(name, found.popleft().units)
             if not found:
                 del self._sent[name]
 
-    def _take_off(self, name: types.OrganisationName, units: int) -> None:
+    def _subtract(self, name: types.OrganisationName, units: int) -> None:
         self._totals[name] -= units
         if self._totals[name] <= 0:
             del self._totals[name]
 
 
 class _SentUnits(NamedTuple):
-    """What was sent at a clock reading."""
+    """Units, and the time at which they were sent."""
 
     at: float
     units: int
@@ -108,17 +105,17 @@
 def over_quota(
     terms: quota.QuotaSettings, used: float, wanted: int, bound: float
 ) -> quota.OverQuota | None:
-    """None where a request stays within a bound of what is used."""
+    """Return None if a request fits within the bound, else the refusal."""
     over = used + wanted - bound
     if over <= 0.0:
         return None
-    # What was spent evenly leaves the window evenly.
+    # Assumes that the units expire evenly over the window.
     part = min(1.0, over / used) if used > 0.0 else 1.0
     return quota.OverQuota(part * terms.window_s, used, bound)
 
 
 class WindowQuotas(quota.Quotas):
-    """Counts what was admitted here over the window."""
+    """Base of the policies that count admitted units over the window."""
 
     def __init__(
         self,
@@ -133,35 +130,35 @@
     def admit(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """A request is admitted here, and waits to be sent."""
+        """Record an admitted request, which waits to be sent."""
         self.own.reserve(name, units)
 
     def record_sent(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """One that was admitted is sent to an endpoint."""
+        """Record that an admitted request was sent to an endpoint."""
         self.own.sent(name, units, now)
 
     def record_not_run(
         self, name: types.OrganisationName, units: int, at: float, now: float
     ) -> None:
-        """What was sent at a reading has not run: it waits again."""
+        """Record that a request sent at time `at` did not run and waits."""
         self.own.not_run(name, units, at)
 
     def cancel(
         self, name: types.OrganisationName, units: int, now: float
     ) -> None:
-        """One that waits is not sent any more."""
+        """Record that a waiting request will not be sent."""
         self.own.cancel(name, units)
 
 
 class EvenShares(WindowQuotas):
-    """Each gateway admits its part of the limit, and asks nobody."""
+    """Each gateway admits an even share of the limit, without reports."""
 
     def check(
         self, item: model.Organisation, wanted: int, now: float
     ) -> quota.OverQuota | None:
-        """None where this gateway's part has room."""
+        """Return None if the request fits in this gateway's share."""
         if item.quota is None:
             return None
         bound = self.terms.bound(item.quota) / max(1, self.gateways)
@@ -171,37 +168,35 @@
 
 
 class _PeerUsage:
-    """What another gateway has told in its present life."""
+    """The reports of another gateway in its current incarnation."""
 
-    def __init__(self, *, life: int) -> None:
-        self.incarnation = life
+    def __init__(self, *, incarnation: int) -> None:
+        self.incarnation = incarnation
         self.at = 0.0
         self.uptime_s = 0.0
         self.spent: dict[types.OrganisationName, int] = {}
-        # Of gateways that have ended, as it knew it at a reading.
+        # Units of ended gateways, as of `ended_at`.
         self.ended: dict[types.OrganisationName, int] = {}
         self.ended_at = 0.0
 
 
 class _EndedUsage(NamedTuple):
-    """What a life that has ended had spent, when it was last heard of."""
+    """The units of an ended incarnation, and the time of its last report."""
 
     at: float
     spent: dict[types.OrganisationName, int]
 
 
 class ReportedUsage(WindowQuotas):
-    """Judges by the sum of what all gateways tell.
-
-    - A gateway that has ended, or is silent, counts on: what it had spent
-      leaves the window by and by.  Who started since is told of it.
-    - Where some are not heard, only the part of the limit is admitted that
-      those have that are: halves that do not hear each other together stay
-      within it.
-    - One that has just started does not know what it had admitted before,
-      nor, after a restart of all, what anybody had: until it has run for a
-      window, those that are as new admit together no more than the rate
-      since its start and the reserve.
+    """Compares the sum of all gateways' reported units with the limit.
+
+    - The units of an ended or silent gateway continue to count until they
+      expire, and are reported to gateways that start later.
+    - If some gateways are silent, only the reachable ones' share of the
+      limit is admitted, so that both sides of a partition stay within it.
+    - A gateway that has just started does not know what was admitted before.
+      For one window, recently started gateways together admit no more than
+      the rate since their start and a share of the reserve.
     """
 
     def __init__(
@@ -224,33 +219,34 @@
         report: quota.QuotaReport,
         now: float,
     ) -> bool:
-        """Take another gateway's word; whether it has just begun to tell.
+        """Record a peer's report; return whether its incarnation is new.
 
-        `incarnation` differs after a restart.  A newcomer is told everything
-        next.
+        A new incarnation makes the next own report complete.
         """
-        heard = self._peers.get(sender)
-        is_new = heard is None or heard.incarnation != incarnation
-        if heard is None or is_new:
-            if heard is not None:
-                self._ended_usage.append(_EndedUsage(heard.at, heard.spent))
-            heard = self._peers[sender] = _PeerUsage(life=incarnation)
+        peer = self._peers.get(sender)
+        is_new = peer is None or peer.incarnation != incarnation
+        if peer is None or is_new:
+            if peer is not None:
+                self._ended_usage.append(_EndedUsage(peer.at, peer.spent))
+            peer = self._peers[sender] = _PeerUsage(incarnation=incarnation)
             self._complete_report_at = now - _COMPLETE_REPORT_INTERVAL_S
-        heard.at = now
-        heard.uptime_s = report.uptime_s
+        peer.at = now
+        peer.uptime_s = report.uptime_s
         if isinstance(report, WindowReport) and report.is_complete:
-            heard.spent = dict(report.spent)
-            heard.ended = dict(report.ended)
-            heard.ended_at = now
+            peer.spent = dict(report.spent)
+            peer.ended = dict(report.ended)
+            peer.ended_at = now
         else:
-            heard.spent.update(report.spent)
+            peer.spent.update(report.spent)
         return is_new
 
     def next_report(self, now: float) -> WindowReport:
-        """What others should know: all, or what has grown since."""
+        """Return the next report: complete, or with the increased units."""
         recent = self.own.recent(now)
-        whole = now >= self._complete_report_at + _COMPLETE_REPORT_INTERVAL_S
-        if whole:
+        is_complete = (
+            now >= self._complete_report_at + _COMPLETE_REPORT_INTERVAL_S
+        )
+        if is_complete:
             self._complete_report_at = now
             spent = recent
         else:
@@ -262,69 +258,68 @@
         self._last_reported = recent
         return WindowReport(
             uptime_s=int(now - self.began),
-            is_complete=whole,
+            is_complete=is_complete,
             spent=spent,
-            ended=self._ended_units(now) if whole else {},
+            ended=self._ended_units(now) if is_complete else {},
         )
 
     def _ended_units(self, now: float) -> dict[types.OrganisationName, int]:
-        """What gateways that have ended had spent, as seen here."""
+        """Return the unexpired units of ended gateways."""
         found: collections.Counter[types.OrganisationName]
         found = collections.Counter()
-        for past in self._ended_usage:
-            part = self._remaining_fraction(past.at, now)
-            for name, units in past.spent.items():
+        for ended_incarnation in self._ended_usage:
+            part = self._remaining_fraction(ended_incarnation.at, now)
+            for name, units in ended_incarnation.spent.items():
                 found[name] += int(units * part)
         return {name: units for name, units in found.items() if units > 0}
 
     def forget(self, now: float) -> None:
-        """Drop what has left the window."""
+        """Drop peers and ended incarnations whose units have expired."""
         before = now - self.terms.window_s
         self._ended_usage = [
             item for item in self._ended_usage if item.at > before
         ]
-        for sender, heard in list(self._peers.items()):
-            if heard.at <= before:
+        for sender, peer in list(self._peers.items()):
+            if peer.at <= before:
                 del self._peers[sender]
 
     def used(self, name: types.OrganisationName, now: float) -> float:
-        """What was spent at all gateways that are known."""
+        """Return the units of an organisation at all known gateways."""
         found = float(self.own.of(name, now))
         ended = 0.0
-        for past in self._ended_usage:
-            ended += past.spent.get(name, 0) * self._remaining_fraction(
-                past.at, now
-            )
-        for heard in self._peers.values():
-            units = heard.spent.get(name, 0)
-            found += units * self._remaining_fraction(heard.at, now)
-            told = heard.ended.get(name, 0) * self._remaining_fraction(
-                heard.ended_at, now
+        for ended_incarnation in self._ended_usage:
+            ended += ended_incarnation.spent.get(
+                name, 0
+            ) * self._remaining_fraction(ended_incarnation.at, now)
+        for peer in self._peers.values():
+            units = peer.spent.get(name, 0)
+            found += units * self._remaining_fraction(peer.at, now)
+            reported = peer.ended.get(name, 0) * self._remaining_fraction(
+                peer.ended_at, now
             )
-            # All tell of the same: who has run longest knows most.
-            ended = max(ended, told)
+            # The peers report the same incarnations: do not add them up.
+            ended = max(ended, reported)
         return found + ended
 
     def _remaining_fraction(self, at: float, now: float) -> float:
-        """The part of what was told at a reading that counts still.
+        """Return the fraction of units reported at time `at` to count.
 
-        It may have been spent all at the end, or evenly: it counts in full
-        for half of the window, and then less and less.
+        They count in full for half of the window, then linearly less.
         """
         left = 2.0 * (1.0 - (now - at) / self.terms.window_s)
         return min(1.0, max(0.0, left))
 
     def bound(self, quota_: model.Quota, now: float) -> float:
-        """The limit, or the part of those that are heard."""
-        heard = 1 + sum(
+        """Return the limit, reduced to the share of reachable gateways."""
+        reachable = 1 + sum(
             now - item.at <= _SILENT_AFTER_S for item in self._peers.values()
         )
-        return self.terms.bound(quota_) * min(1.0, heard / self.gateways)
+        return self.terms.bound(quota_) * min(1.0, reachable / self.gateways)
 
     def check(
         self, item: model.Organisation, wanted: int, now: float
     ) -> quota.OverQuota | None:
-        """The limit, and what a start does not remember is left free."""
+        """Check the limit, and the lower one after a recent start."""
         if item.quota is None:
             return None
         used = self.used(item.name, now)
@@ -332,24 +327,26 @@
         refused = over_quota(self.terms, used, wanted, bound)
         if refused is not None:
             return refused
-        up_s = now - self.began
-        if up_s >= self.terms.window_s:
+        uptime_s = now - self.began
+        if uptime_s >= self.terms.window_s:
             return None
         spent = self._spent_by_recently_started(item.name, now)
-        most = item.quota.rate_per_s * up_s
-        most += _RECENT_START_FRACTION * self.terms.reserve
-        over = spent + wanted - most
+        max_units = item.quota.rate_per_s * uptime_s
+        max_units += _RECENT_START_FRACTION * self.terms.reserve
+        over = spent + wanted - max_units
         if over <= 0.0:
             return None
-        room_s = over / item.quota.rate_per_s
-        return quota.OverQuota(min(room_s, self.terms.window_s), spent, most)
+        available_in_s = over / item.quota.rate_per_s
+        return quota.OverQuota(
+            min(available_in_s, self.terms.window_s), spent, max_units
+        )
 
     def _spent_by_recently_started(
         self, name: types.OrganisationName, now: float
     ) -> float:
-        """What those have admitted that have not run for a window."""
+        """Return the units of gateways that started within the window."""
         found = float(self.own.of(name, now))
-        for heard in self._peers.values():
-            if heard.uptime_s + now - heard.at < self.terms.window_s:
-                found += heard.spent.get(name, 0)
+        for peer in self._peers.values():
+            if peer.uptime_s + now - peer.at < self.terms.window_s:
+                found += peer.spent.get(name, 0)
         return found
--- a/lab/settings_page.py
+++ b/lab/settings_page.py
@@ -19,7 +19,7 @@
 
 
 def page() -> str:
-    """The page as it should be."""
+    """Return the text of the page."""
     rows = []
     for item in schema.SETTINGS.values():
         allowed = " or ".join(item.words)
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -1,8 +1,7 @@
-"""Measures what each thing costs: python -m lab.slopes.
+"""Measures CPU, memory and message costs: python -m lab.slopes.
 
-Prints, for docs/CAPACITY.md, the raw points and a fitted line for each
-slope, beside a calibration loop, since machines differ.  Everything runs
-in this process on loopback or in memory, and ends by itself.
+Prints, for docs/CAPACITY.md, the points and a fitted line for each cost, and
+the time of a calibration loop to compare machines.
 """
 
 import asyncio
@@ -36,17 +35,17 @@
 BUILD = pathlib.Path("build")
 
 
-# What is measured; each gives (size, seconds or bytes) points.
+# Measurements; most return (size, seconds or bytes) points.
 
 
 def _load(role: types.Role) -> messages.Load:
-    room = tuple(0.1 for _ in messages.ROOM_SLACKS_S)
+    slacks = tuple(0.1 for _ in messages.ROOM_SLACKS_S)
     return messages.Load(
         role=role,
         revision=types.Revision(9),
         slots=20,
         used=9,
-        room_s=room,
+        room_s=slacks,
     )
 
 
@@ -81,16 +80,16 @@
 
 
 def placement_times() -> dict[int, tuple[float, float]]:
-    """Microseconds of a placement: median and p99, by replicas."""
+    """Return median and p99 microseconds of a placement, by endpoints."""
     policy = placement.JointPolicy(rng=random.Random(1))
     found = {}
     for count in (8, 16, 32, 64, 600):
         pool = _views(count)
-        ask = _requirements()
+        requirements = _requirements()
         times = []
         for _ in range(600):
             began = time.perf_counter()
-            policy.place(requirements=ask, pool=pool, now=1.0)
+            policy.place(requirements=requirements, pool=pool, now=1.0)
             times.append((time.perf_counter() - began) * 1e6)
         times.sort()
         found[count] = (times[len(times) // 2], times[int(len(times) * 0.99)])
@@ -98,7 +97,7 @@
 
 
 def reserve_cpu() -> list[tuple[float, float]]:
-    """Processor time of promises and ends at an agent, by how many."""
+    """Return the CPU time to reserve and release, by number of attempts."""
     points = []
     for count in (500, 1000, 2000):
 
@@ -140,7 +139,7 @@
 
 
 def token_cpu() -> list[tuple[float, float]]:
-    """Processor time to code and decode token frames, by how many."""
+    """Return the CPU time to encode and decode frames, by their number."""
     decoder = codec.Decoder(kinds=messages.FromAgent)
     points = []
     for count in (5_000, 10_000, 20_000):
@@ -160,7 +159,7 @@
 
 
 def demand_cpu() -> list[tuple[float, float]]:
-    """Processor time to count demand, by requests a second."""
+    """Return the CPU time to record demand, by requests a second."""
     points = []
     for rate in (5, 10, 20, 40):
 
@@ -176,7 +175,7 @@
 
 
 def settings_memory() -> list[tuple[float, float]]:
-    """Bytes of a settings tree, by nodes of four values."""
+    """Return the bytes of a settings tree, by nodes of four values."""
     points = []
     for count in (500, 1000, 2000):
 
@@ -200,7 +199,7 @@
 
 
 def endpoint_memory() -> list[tuple[float, float]]:
-    """Bytes that an entry holds for known endpoints, hints not full."""
+    """Return the bytes of an entry's endpoint views without prefix hints."""
     return [
         (float(count), float(measure.memory_of(lambda: _views(count))))
         for count in (100, 200, 400)
@@ -208,7 +207,7 @@
 
 
 def stream_memory() -> list[tuple[float, float]]:
-    """Bytes that an entry holds for open attempts."""
+    """Return the bytes of an entry's open attempts, by their number."""
     points = []
     for count in (200, 400, 800):
 
@@ -250,7 +249,7 @@
 
 
 def claim_cpu() -> list[tuple[float, float]]:
-    """Processor time of claims and ends in the table, by how many."""
+    """Return the CPU time to claim and settle, by number of claims."""
     points = []
     for count in (2_000, 4_000, 8_000):
 
@@ -289,7 +288,7 @@
 
 
 def claim_bytes() -> list[tuple[float, float]]:
-    """Bytes of a claim batch in the log, by claims in it."""
+    """Return the bytes of a claim batch in the log, by its claims."""
     points = []
     for count in (10, 50, 100):
         batch = _claim_batch(0)
@@ -304,7 +303,7 @@
 
 
 def change_bytes() -> dict[str, int]:
-    """Bytes of the messages of control and of the agents' summaries."""
+    """Return the bytes of control messages and of an agent's summary."""
     node = tree.Node(
         revision=types.Revision(9), values={"tolk/dispatch.ttft_s": 0.4}
     )
@@ -335,7 +334,7 @@
 
 
 def feed_cpu() -> list[tuple[float, float]]:
-    """Processor time to feed one change, by watchers."""
+    """Return the CPU time to encode a change, by number of watchers."""
     points = []
     node = tree.Node(revision=types.Revision(9), values={"weight": 2.0})
     change = machine.Change(
@@ -353,7 +352,7 @@
 
 
 async def _sync_times(folder: pathlib.Path) -> tuple[float, float]:
-    """Milliseconds of a synced append: median and p99."""
+    """Return median and p99 milliseconds of a synced append."""
     storage.create(
         folder,
         replica=consensus.ReplicaId("c0"),
@@ -380,7 +379,7 @@
 
 
 def leaderless() -> tuple[float, float]:
-    """Virtual seconds without a leader after a kill: median, most."""
+    """Return median and maximum virtual seconds without a leader."""
 
     async def main(seed: int) -> float:
         names = ("c0", "c1", "c2")
@@ -413,7 +412,7 @@
 
 
 def main() -> None:
-    """Measure everything and print it."""
+    """Run all measurements, print them and write build/slopes.json."""
     loop = measure.calibration()
     print(f"calibration: a million turns of a loop take {loop * 1e3:.1f} ms")
     report: dict[str, object] = {"calibration_s": loop}
--- a/tests/test_compare_sites.py
+++ b/tests/test_compare_sites.py
@@ -1,14 +1,14 @@
-"""The comparison of two working copies, without a bench."""
+"""Reports and tables of the comparison of two working copies."""
 
 import json
 
 from lab import compare_sites
 
 
-def report(worth: float, waste: float, rules: dict | None = None) -> str:
+def report(score: float, waste: float, rules: dict | None = None) -> str:
     return json.dumps(
         {
-            "G": worth,
+            "G": score,
             "parts": [["whole day", 0.35, 0.9], ["worst windows", 0.5, 0.4]],
             "prices": [["read in vain", 12.0, waste]],
             "rules": rules or {},
@@ -18,7 +18,7 @@
 
 def test_parts_prices_and_broken_rules_are_read() -> None:
     got = compare_sites.read_report(report(0.6, 0.05, {"LOST": 2}))
-    assert got.worth == 0.6
+    assert got.score == 0.6
     assert got.figures["worst windows"] == 0.4
     assert got.figures["read in vain"] == -0.05
     assert got.broken == ("LOST",)
@@ -30,11 +30,11 @@
         for seed in (1, 2)
     ]
     before = [
-        compare_sites.read_report(report(worth, 0.05)) for worth in (0.2, 0.6)
+        compare_sites.read_report(report(score, 0.05)) for score in (0.2, 0.6)
     ]
     after = [
-        compare_sites.read_report(report(worth, 0.01, rules))
-        for worth, rules in ((0.3, None), (0.7, {"LOST": 1}))
+        compare_sites.read_report(report(score, 0.01, rules))
+        for score, rules in ((0.3, None), (0.7, {"LOST": 1}))
     ]
     lines = list(compare_sites.table(days, before, after))
     assert "one calm" in lines[1]
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The checker of histories finds wrong ones; runs leave none."""
+"""The history checker detects violations, and simulated runs have none."""
 
 from lab import history
 from lab import linear
@@ -8,13 +8,13 @@
 C = linear.ClaimRecord
 
 
-def test_a_good_history_is_passed() -> None:
+def test_a_valid_history_is_accepted() -> None:
     writes = [W("a", 1.0, 0, 0, 1, 1), W("a", 2.0, 1, 2, None, None)]
     reads = [R("a", 1.5, 1.6, 1, 1.0), R("a", 3, 4, 2, 2.0)]
     assert not linear.check_writes(writes, reads)
 
 
-def test_wrong_histories_of_settings_are_found() -> None:
+def test_invalid_settings_histories_are_detected() -> None:
     one = W("a", 1.0, 0, 0, 1, 1)
     assert linear.check_writes([one, W("b", 1.0, 0, 2, 3, 1)], [])
     assert linear.check_writes([W("a", 1.0, 0, 0, 1, 5), one], []) == [
@@ -30,7 +30,7 @@
     )
 
 
-def test_wrong_histories_of_claims_are_found() -> None:
+def test_invalid_claim_histories_are_detected() -> None:
     first = C("k", "x", "granted", 0, 1)
     second = C("k", "y", "granted", 2, 3)
     assert linear.check_claims([first, second])
@@ -40,7 +40,7 @@
     assert linear.check_claims([first, done, done])
 
 
-def test_runs_with_kills_and_cuts_leave_a_good_history() -> None:
+def test_runs_with_crashes_and_partitions_leave_a_valid_history() -> None:
     for seed in range(4):
         _, writes, claims, wrong = history.run_seed(seed)
         assert writes > 5 and claims > 10
