--- a/lab/bench.py
+++ b/lab/bench.py
@@ -1,7 +1,7 @@
-"""The bench of the decisions: python -m lab.bench [--quick].
+"""Benchmarks the placement policies: python -m lab.bench [--quick].
 
-Runs all cases in virtual time, several at once, and writes
-build/bench.json, a table and build/bench.png.
+Runs all cases in virtual time on several cores, prints a table and writes
+build/bench.json and build/bench.png.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 
 
 def plan(*, quick: bool, seeds: int) -> list[cases.Case]:
-    """The cases to run."""
+    """Return the cases to run."""
     rows = [("1.3", "none")] if quick else [(load, "none") for load in _LOADS]
     if not quick:
         rows += [("1.0", fault) for fault in _FAULTS]
@@ -48,7 +48,7 @@
     ]
 
 
-def _middle(results: Iterable[cases.Result], name: str) -> float:
+def _median(results: Iterable[cases.Result], name: str) -> float:
     return statistics.median(getattr(item, name) for item in results)
 
 
@@ -64,7 +64,7 @@
 
 
 def table(results: list[cases.Result]) -> str:
-    """Medians over the seeds; ratios are those of this run."""
+    """Return a table of medians over the seeds."""
     lines = [
         f"{'deployment':<11}{'load':<11}{'fault':<14}{'policy':<15}"
         f"{'goodput':>8}{'/bound':>7}{'rush':>6}{'wasted':>8}{'not run':>8}"
@@ -72,19 +72,19 @@
     ]
     for key, by_policy in _groups(results).items():
         best = max(
-            _middle(items, "goodput")
+            _median(items, "goodput")
             for policy, items in by_policy.items()
             if policy != cases.PRODUCT
         )
         for policy, items in by_policy.items():
-            good = _middle(items, "goodput")
+            good = _median(items, "goodput")
             lines.append(
                 f"{key[0]:<11}{key[1]:<11}{key[2]:<14}{policy:<15}"
-                f"{good:>8.3f}{good / _middle(items, 'bound'):>7.3f}"
-                f"{_middle(items, 'rush_goodput'):>6.3f}"
-                f"{_middle(items, 'wasted_prefill'):>8.4f}"
-                f"{_middle(items, 'not_run'):>8.0f}"
-                f"{_middle(items, 'broken_promises'):>7.0f}"
+                f"{good:>8.3f}{good / _median(items, 'bound'):>7.3f}"
+                f"{_median(items, 'rush_goodput'):>6.3f}"
+                f"{_median(items, 'wasted_prefill'):>8.4f}"
+                f"{_median(items, 'not_run'):>8.0f}"
+                f"{_median(items, 'broken_promises'):>7.0f}"
                 f"{good / max(best, 1e-9):>7.2f}"
             )
     wrong = sum(item.wrong for item in results)
@@ -94,7 +94,7 @@
 
 
 def plot(results: list[cases.Result], path: pathlib.Path) -> None:
-    """Goodput by case and policy, with the bound, as a picture."""
+    """Plot goodput by case and policy, with the bound, to a file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -107,10 +107,10 @@
     for axis, deployment in zip(axes[:, 0], _DEPLOYMENTS):
         rows = [key for key in groups if key[0] == deployment]
         for idx, policy in enumerate(_POLICIES):
-            heights = [_middle(groups[key][policy], "goodput") for key in rows]
+            heights = [_median(groups[key][policy], "goodput") for key in rows]
             spots = [at + idx * 0.16 for at in range(len(rows))]
             axis.bar(spots, heights, width=0.15, label=policy)
-        bounds = [_middle(groups[key][cases.PRODUCT], "bound") for key in rows]
+        bounds = [_median(groups[key][cases.PRODUCT], "bound") for key in rows]
         axis.plot(
             [at + 0.32 for at in range(len(rows))],
             bounds,
@@ -131,7 +131,7 @@
 
 
 def main() -> None:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--seeds", type=int, default=0)
--- a/rackpost/testing/engine.py
+++ b/rackpost/testing/engine.py
@@ -1,9 +1,8 @@
-"""A stand-in model engine: slots, prefill, KV transfer, prefix cache.
+"""Simulates a model engine: slots, prefill, KV transfer, prefix cache.
 
-It is no engine: it spends time as one would, and its answers are derived
-from the request, so that a crossed, doubled or cut answer is seen.  One
-engine is one object in one event loop; `testing.engine_http` puts it on
-the network.
+The engine only waits as long as a real one would.  Its answers are derived
+from the request, so that mixed-up, duplicated or truncated answers are
+detected.  `testing.engine_http` serves it over HTTP.
 """
 
 import asyncio
@@ -24,11 +23,9 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """What the stand-in spends: seconds, tokens, bytes.
+    """The simulated engine's speeds and sizes: seconds, tokens, bytes.
 
-    A step takes `step_s` and `step_stream_s` more for each stream, which
-    makes 30 ms at twenty streams; a prefill of 1,500 tokens costs about
-    as much as 6 steps of a full batch, or 120 output tokens.
+    A decode step takes `step_s`, and `step_stream_s` for each stream.
     """
 
     slots: int = 20
@@ -46,21 +43,21 @@
 
 
 class Ledger:
-    """Prefill tokens that all engines of a test have spent."""
+    """Counts the prefilled tokens and the runs of all engines of a test."""
 
     def __init__(self) -> None:
         self.prefilled: dict[slots.AttemptKey, int] = {}
         self.runs: collections.Counter[types.RequestId] = collections.Counter()
 
     def prefilled_for(self, req: types.RequestId) -> list[int]:
-        """Tokens prefilled for a request, by attempt, in their order."""
+        """Return the tokens prefilled for a request, one item an attempt."""
         return [
             tokens for key, tokens in self.prefilled.items() if key.req == req
         ]
 
 
-class _Kept:
-    """A prefill's result, kept for export."""
+class _ExportedCache:
+    """The KV cache of a prefill, kept until a decode engine imports it."""
 
     def __init__(self, *, key: slots.AttemptKey, size: int) -> None:
         self.key = key
@@ -69,17 +66,17 @@
 
 
 class _Stream:
-    """One request in the batch."""
+    """A request in the batch."""
 
-    def __init__(self, *, key: slots.AttemptKey, pieces: list[str]) -> None:
+    def __init__(self, *, key: slots.AttemptKey, tokens: list[str]) -> None:
         self.key = key
-        self.pieces = pieces
-        self.at = 0
+        self.tokens = tokens
+        self.position = 0
         self.out: asyncio.Queue[str | Exception | None] = asyncio.Queue()
 
 
 def prompt_of(body: bytes) -> bytes:
-    """The prompt's text in an OpenAI request body."""
+    """Return the prompt's text in an OpenAI request body."""
     req = msgspec.json.decode(body)
     if "messages" in req:
         parts = [str(msg.get("content", "")) for msg in req["messages"]]
@@ -88,9 +85,9 @@
 
 
 def answer_to(body: bytes) -> list[str]:
-    """The whole answer that any engine gives to a request body.
+    """Return the tokens that every engine generates for a request body.
 
-    Its length is between 0.4 and 1 times the limit that was asked for.
+    Their number is between 0.4 and 1 times the requested limit.
     """
     req = msgspec.json.decode(body)
     limit = int(req.get("max_tokens") or req.get("max_completion_tokens", 16))
@@ -102,7 +99,7 @@
 
 
 class StandInEngine(engine.Engine):
-    """A model engine within this event loop."""
+    """A simulated model engine in this event loop."""
 
     def __init__(
         self,
@@ -126,7 +123,7 @@
         self._peers = peers
         peers[name] = self
         self._rng = rng
-        self._kept: dict[str, _Kept] = {}
+        self._exported: dict[str, _ExportedCache] = {}
         self._prefills: list[tuple[int, int, slots.AttemptKey]] = []
         self._turns: dict[slots.AttemptKey, asyncio.Event] = {}
         self._prefilling: slots.AttemptKey | None = None
@@ -134,29 +131,29 @@
         self._waiting: collections.OrderedDict[
             slots.AttemptKey, asyncio.Event
         ] = collections.OrderedDict()
-        self._taken: set[slots.AttemptKey] = set()
+        self._occupied: set[slots.AttemptKey] = set()
         self._active: dict[slots.AttemptKey, _Stream] = {}
         self._stepper: asyncio.Task[None] | None = None
         self._cache = prefix.PrefixHints(max_blocks=spec.cache_blocks)
         self._events: list[tuple[float, tuple[types.BlockHash, ...]]] = []
 
-    # What tests and the bench look at, and what they break.
+    # Inspection and faults, for tests and the bench.
 
     def held(self) -> set[types.RequestId]:
-        """The requests for which any memory is held."""
-        kept = {item.key.req for item in self._kept.values()}
-        taken = {key.req for key in self._taken}
+        """Return the requests that occupy any memory."""
+        kept = {item.key.req for item in self._exported.values()}
+        taken = {key.req for key in self._occupied}
         return kept | taken | {key.req for key in self._turns}
 
     def kill(self) -> None:
-        """The engine dies: all it holds is lost, calls fail."""
+        """Simulate the engine's death: lose all state and fail all calls."""
         self.dead = True
         error = exceptions.EngineError("engine died")
         for strm in self._active.values():
             strm.out.put_nowait(error)
         self._active.clear()
-        self._taken.clear()
-        self._kept.clear()
+        self._occupied.clear()
+        self._exported.clear()
         for turn in [*self._turns.values(), *self._waiting.values()]:
             turn.set()
 
@@ -169,14 +166,14 @@
     async def prefill(
         self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> engine.PrefillResult:
-        """Wait for the turn, spend the time, keep the result."""
+        """Wait for the prompt's turn, prefill it and keep its KV cache."""
         tokens, cached = await self._prefill(key, body, priority)
-        return self._keep(key, tokens, cached)
+        return self._export(key, tokens, cached)
 
     async def warm(
         self, *, key: slots.AttemptKey, body: bytes, priority: int
     ) -> None:
-        """Wait for the turn and spend the time; keep nothing."""
+        """Prefill a prompt without keeping its KV cache for export."""
         await self._prefill(key, body, priority)
 
     async def _prefill(
@@ -185,20 +182,22 @@
         self._check(ran=False)
         prompt = prompt_of(body)
         try:
-            await self._turn(key, priority)
+            await self._wait_for_prefill_turn(key, priority)
             return await self._prefill_now(key, prompt)
         finally:
-            self._pass_turn(key)
+            self._end_prefill_turn(key)
 
-    async def _turn(self, key: slots.AttemptKey, priority: int) -> None:
+    async def _wait_for_prefill_turn(
+        self, key: slots.AttemptKey, priority: int
+    ) -> None:
         turn = asyncio.Event()
         self._turns[key] = turn
         self._order += 1
         heapq.heappush(self._prefills, (priority, self._order, key))
-        self._next_prefill()
+        self._start_next_prefill()
         await turn.wait()
 
-    def _next_prefill(self) -> None:
+    def _start_next_prefill(self) -> None:
         while self._prefilling is None and self._prefills:
             key = heapq.heappop(self._prefills)[2]
             turn = self._turns.get(key)
@@ -206,11 +205,11 @@
                 self._prefilling = key
                 turn.set()
 
-    def _pass_turn(self, key: slots.AttemptKey) -> None:
+    def _end_prefill_turn(self, key: slots.AttemptKey) -> None:
         self._turns.pop(key, None)
         if self._prefilling == key:
             self._prefilling = None
-        self._next_prefill()
+        self._start_next_prefill()
 
     async def _prefill_now(
         self, key: slots.AttemptKey, prompt: bytes
@@ -226,29 +225,29 @@
         await asyncio.sleep(spent * self.slowness)
         self._check(ran=True)
         self._cache.add(blocks)
-        self._emit(blocks)
+        self._queue_event(blocks)
         return tokens, cached
 
-    def _keep(
+    def _export(
         self, key: slots.AttemptKey, tokens: int, cached: int
     ) -> engine.PrefillResult:
         handle = f"{key.req}.{key.attempt}"
-        item = _Kept(key=key, size=tokens * self.spec.kv_token_bytes)
+        item = _ExportedCache(key=key, size=tokens * self.spec.kv_token_bytes)
         loop = asyncio.get_running_loop()
         item.expiry = loop.call_later(
-            self.spec.kv_keep_s, self._kept.pop, handle, None
+            self.spec.kv_keep_s, self._exported.pop, handle, None
         )
-        self._kept[handle] = item
+        self._exported[handle] = item
         kv = {"remote_engine_id": self.name, "remote_block_ids": [handle]}
         return engine.PrefillResult(kv=kv, cached_tokens=cached)
 
-    def _emit(self, blocks: tuple[types.BlockHash, ...]) -> None:
+    def _queue_event(self, blocks: tuple[types.BlockHash, ...]) -> None:
         if self._rng.random() >= self.spec.event_loss:
             due = asyncio.get_running_loop().time() + self.spec.event_lag_s
             self._events.append((due, blocks))
 
     async def events(self) -> engine.CacheEvents:
-        """The cache events whose lag has passed; some are missing."""
+        """Return the cache events that are due; some are lost."""
         now = asyncio.get_running_loop().time()
         due = [blocks for at, blocks in self._events if at <= now]
         self._events = [item for item in self._events if item[0] > now]
@@ -261,19 +260,19 @@
         handle = str((kv.get("remote_block_ids") or [""])[0])
         if peer is None or peer.dead:
             raise engine.TransferFailed("exporting engine is gone")
-        item = peer._kept.get(handle)
+        item = peer._exported.get(handle)
         if item is None:
             raise engine.KvExpired("KV cache is no longer kept")
         if item.expiry is not None:
             item.expiry.cancel()
         try:
-            await self._move(peer, item.size)
+            await self._transfer(peer, item.size)
         finally:
-            peer._kept.pop(handle, None)
+            peer._exported.pop(handle, None)
         if peer.dead or self.dead:
             raise engine.TransferFailed("engine died in transfer")
 
-    async def _move(self, peer: "StandInEngine", size: int) -> None:
+    async def _transfer(self, peer: "StandInEngine", size: int) -> None:
         loop = asyncio.get_running_loop()
         await peer.link_up.wait()
         await self.link_up.wait()
@@ -295,54 +294,54 @@
         offset: int,
         priority: int,
     ) -> AsyncGenerator[str, None]:
-        """Wait for memory, import the KV cache, stream the answer."""
+        """Wait for a slot, import or compute the KV cache, stream tokens."""
         self._check(ran=False)
         self.ledger.runs[key.req] += 1
-        strm = _Stream(key=key, pieces=answer_to(body))
-        strm.at = offset
+        strm = _Stream(key=key, tokens=answer_to(body))
+        strm.position = offset
         try:
-            await self._slot(key)
+            await self._acquire_slot(key)
             if kv is not None:
                 await self._import(kv)
             elif not offset:
                 await self._prefill(key, body, priority)
             self._check(ran=True)
-            self._join(strm)
+            self._add_to_batch(strm)
             while True:
-                piece = await strm.out.get()
-                if piece is None:
+                token = await strm.out.get()
+                if token is None:
                     return
-                if isinstance(piece, Exception):
-                    raise piece
-                yield piece
+                if isinstance(token, Exception):
+                    raise token
+                yield token
         finally:
-            self._free(key)
+            self._release_slot(key)
 
-    async def _slot(self, key: slots.AttemptKey) -> None:
-        if len(self._taken) >= self.spec.slots:
+    async def _acquire_slot(self, key: slots.AttemptKey) -> None:
+        if len(self._occupied) >= self.spec.slots:
             turn = asyncio.Event()
             self._waiting[key] = turn
             await turn.wait()
             self._check(ran=True)
-        self._taken.add(key)
+        self._occupied.add(key)
 
-    def _free(self, key: slots.AttemptKey) -> None:
+    def _release_slot(self, key: slots.AttemptKey) -> None:
         self._active.pop(key, None)
         self._waiting.pop(key, None)
-        self._taken.discard(key)
-        free = self.spec.slots - len(self._taken)
+        self._occupied.discard(key)
+        free = self.spec.slots - len(self._occupied)
         while self._waiting and free > 0:
             _, turn = self._waiting.popitem(last=False)
             turn.set()
             free -= 1
 
-    def _join(self, strm: _Stream) -> None:
+    def _add_to_batch(self, strm: _Stream) -> None:
         self._active[strm.key] = strm
         if self._stepper is None or self._stepper.done():
             self._stepper = asyncio.create_task(self._steps())
 
     def step_s(self) -> float:
-        """How long a step of the present batch takes, in seconds."""
+        """Return the duration of a step of the current batch, in seconds."""
         batch = self.spec.step_stream_s * len(self._active)
         return (self.spec.step_s + batch) * self.slowness
 
@@ -350,23 +349,23 @@
         while self._active:
             await asyncio.sleep(self.step_s())
             for strm in list(self._active.values()):
-                self._one_token(strm)
+                self._generate_token(strm)
 
-    def _one_token(self, strm: _Stream) -> None:
-        if strm.at < len(strm.pieces):
-            strm.out.put_nowait(strm.pieces[strm.at])
-            strm.at += 1
-        if strm.at >= len(strm.pieces):
+    def _generate_token(self, strm: _Stream) -> None:
+        if strm.position < len(strm.tokens):
+            strm.out.put_nowait(strm.tokens[strm.position])
+            strm.position += 1
+        if strm.position >= len(strm.tokens):
             self._active.pop(strm.key, None)
             strm.out.put_nowait(None)
 
     async def abort(self, *, key: slots.AttemptKey) -> None:
-        """Forget a request, wherever it is."""
-        self._kept.pop(f"{key.req}.{key.attempt}", None)
+        """Abort a request in any state."""
+        self._exported.pop(f"{key.req}.{key.attempt}", None)
         strm = self._active.pop(key, None)
         if strm is not None:
             strm.out.put_nowait(exceptions.EngineError("aborted"))
-        self._free(key)
+        self._release_slot(key)
 
     async def call(
         self, **_: Any
@@ -376,7 +375,7 @@
         yield b""  # This makes the function a generator.
 
     def order(self, *, fence: types.Fence, what: str) -> bool:
-        """Take an order; one with an old fence is refused if checked."""
+        """Accept an order, or refuse it if its fence is stale and checked."""
         if self.spec.checks_fence and fence < self.fence:
             return False
         self.fence = max(self.fence, fence)
--- a/rackpost/testing/fleet.py
+++ b/rackpost/testing/fleet.py
@@ -1,9 +1,8 @@
-"""A large fleet in virtual time: many gateways, few endpoints, no network.
+"""Simulates many gateways and few endpoints in virtual time.
 
-Gateways are the product's own: its room, choice, forecast and figures of
-each other, which come as late as they are told.  Endpoints are stand-ins
-that hold KV memory, make tokens in step, preempt the newest run when
-memory is out and read it anew between the tokens of the others.
+Gateways use the production admission queue, endpoint choice, forecasts and
+load reports.  Simulated endpoints hold KV memory, decode in batches, preempt
+the newest run when memory is exhausted and prefill it again later.
 """
 
 import asyncio
@@ -31,90 +30,89 @@
 
 SERVICE = types.ServiceName("model")
 _HERE = types.DataCentre("here")
-# How finely the making of tokens is followed, in seconds.
+# Time step of token generation.
 _STEP_S = 0.01
-# Clients leave a stream that has not begun after so many targets.
-_PATIENCE = 4.0
-# An endpoint that decodes reads at half the pace of one that prefills.
-_IN_PLACE_X = 2.0
+# A client leaves after this multiple of the target without a first token.
+_PATIENCE_TARGETS = 4.0
+# Prefill time at a decode endpoint over that at a prefill endpoint.
+_IN_PLACE_SLOWDOWN = 2.0
 
 
 class Spec(msgspec.Struct, frozen=True, kw_only=True):
     """A fleet and its load; times in seconds, sizes in tokens.
 
-    The defaults are a model of 120 billion parameters on sixteen small
-    shares of accelerators: nine usual requests fill the memory of one that
-    decodes, for some three seconds.
+    By default, nine typical requests fill the memory of a decode endpoint
+    for about three seconds.
     """
 
     gateways: int = 68
     prefills: int = 4
     decodes: int = 12
-    memory: int = 61640
+    memory_tokens: int = 61640
     slots: int = 32
-    event: int = 64
-    # A token of one of `n` runs takes token_s + n * token_each_s.
+    event_tokens: int = 64
+    # A token takes token_s + n * token_each_s in a batch of `n` runs.
     token_s: float = 0.00058
     token_each_s: float = 0.00002
-    read_s: float = 0.000018
+    prefill_token_s: float = 0.000018
     prompt: float = 5200.0
     prompt_spread: float = 0.5
     answer: float = 4400.0
     answer_spread: float = 0.7
-    most_answer: int = 10880
-    # How far off clients' guesses are; they are right in the median.
+    max_answer: int = 10880
+    # Log-normal spread of clients' length estimates around the true length.
     guess_spread: float = 0.5
     rate: float = 13.0
-    crowd_x: float = 2.3
-    crowd_at: float = 4.0
-    crowd_s: float = 4.0
+    surge_factor: float = 2.3
+    surge_at: float = 4.0
+    surge_s: float = 4.0
     seconds: float = 12.0
     target_s: float = 0.92
-    pause_s: float = 0.3
-    # How old figures of other gateways are when they come.
-    told_s: float = 0.013
+    max_pause_s: float = 0.3
+    # Delay of other gateways' load reports.
+    report_delay_s: float = 0.013
 
 
 class Outcome(msgspec.Struct, kw_only=True):
-    """What became of the requests."""
+    """The number of requests by outcome, and the cost of the run."""
 
-    asked: int = 0
+    requests: int = 0
     in_time: int = 0
     late_start: int = 0
     long_pause: int = 0
     refused: int = 0
     preempted: int = 0
     rejected: int = 0
-    # Tokens that were read or made in vain.
+    # Prefilled or generated tokens that were discarded.
     wasted: int = 0
-    # Tellings that were sent, each to all other gateways.
+    # Load reports; each goes to all other gateways.
     messages: int = 0
 
 
 class _Stream:
-    """A run at an endpoint."""
+    """A generation at an endpoint."""
 
     def __init__(
         self, *, prompt: int, answer: int, progress: kv_forecast.Progress
     ) -> None:
         self.prompt = prompt
         self.answer = answer
-        self.made = 0.0
+        self.generated = 0.0
         self.events = 0
         self.progress = progress
         self.first_at = math.inf
         self.last_at = 0.0
-        self.longest_s = 0.0
+        self.longest_pause_s = 0.0
         self.ended = asyncio.Event()
 
     @property
     def size(self) -> int:
-        """Tokens that it holds."""
-        return self.prompt + int(self.made)
+        """Tokens that occupy KV memory."""
+        return self.prompt + int(self.generated)
 
 
-class _Engine:
-    """An endpoint that decodes."""
+class _DecodeEngine:
+    """A simulated decode endpoint."""
 
     def __init__(self, *, spec: Spec, outcome: Outcome) -> None:
         self._spec = spec
@@ -122,102 +120,107 @@
         self._loop = asyncio.get_running_loop()
         self._runs: list[_Stream] = []
         self._preempted: list[_Stream] = []
-        # Until then it reads a prompt and makes no tokens.
-        self._reads_until = 0.0
+        # No tokens are generated during a prefill.
+        self._prefilling_until = 0.0
 
     @property
     def _used(self) -> int:
         return sum(item.size for item in self._runs)
 
-    def take(self, stream: _Stream) -> bool:
-        """Let a run begin whose prompt has been read; False if full."""
-        if self._used + stream.size > self._spec.memory:
+    def start(self, stream: _Stream) -> bool:
+        """Start a prefilled run; return False if memory is full."""
+        if self._used + stream.size > self._spec.memory_tokens:
             return False
         stream.last_at = self._loop.time()
         self._runs.append(stream)
         return True
 
     async def run(self) -> None:
-        """Make tokens until cancelled."""
+        """Generate tokens until cancelled."""
         while True:
             await asyncio.sleep(_STEP_S)
             now = self._loop.time()
-            self._take_up(now)
-            if now >= self._reads_until:
-                self._make(now)
-            self._make_room()
-
-    def _take_up(self, now: float) -> None:
-        """Read a run that was preempted anew, if there is room."""
-        if not self._preempted or now < self._reads_until:
+            self._resume_preempted(now)
+            if now >= self._prefilling_until:
+                self._generate(now)
+            self._preempt_until_fits()
+
+    def _resume_preempted(self, now: float) -> None:
+        """Prefill a preempted run again if there is memory for it."""
+        if not self._preempted or now < self._prefilling_until:
             return
         first = self._preempted[0]
-        if self._used + first.size > 0.98 * self._spec.memory:
+        if self._used + first.size > 0.98 * self._spec.memory_tokens:
             return
         self._preempted.pop(0)
         self._runs.append(first)
-        took = first.size * self._spec.read_s * _IN_PLACE_X
-        self._reads_until = now + took
+        took = first.size * self._spec.prefill_token_s * _IN_PLACE_SLOWDOWN
+        self._prefilling_until = now + took
 
-    def _make(self, now: float) -> None:
+    def _generate(self, now: float) -> None:
         spec = self._spec
         count = len(self._runs)
         token_s = spec.token_s + count * spec.token_each_s
         for stream in list(self._runs):
-            stream.made += _STEP_S / token_s
-            ended = stream.made >= stream.answer
-            if ended or stream.made >= (stream.events + 1) * spec.event:
-                self._note_event(stream, now)
+            stream.generated += _STEP_S / token_s
+            ended = stream.generated >= stream.answer
+            if (
+                ended
+                or stream.generated >= (stream.events + 1) * spec.event_tokens
+            ):
+                self._record_event(stream, now)
             if ended:
                 self._runs.remove(stream)
                 stream.ended.set()
 
-    def _note_event(self, stream: _Stream, now: float) -> None:
+    def _record_event(self, stream: _Stream, now: float) -> None:
         if stream.events:
             pause = now - stream.last_at
-            stream.longest_s = max(stream.longest_s, pause)
+            stream.longest_pause_s = max(stream.longest_pause_s, pause)
         else:
             stream.first_at = now
         stream.events += 1
         stream.last_at = now
         stream.progress.record_event()
 
-    def _make_room(self) -> None:
-        while self._used > self._spec.memory:
+    def _preempt_until_fits(self) -> None:
+        while self._used > self._spec.memory_tokens:
             newest = self._runs.pop()
             self._preempted.append(newest)
             self._outcome.preempted += 1
             self._outcome.wasted += newest.size
 
 
-class _Reader:
-    """An endpoint that prefills, one prompt after the other."""
+class _PrefillEngine:
+    """A simulated prefill endpoint, which prefills prompts in sequence."""
 
     def __init__(self, *, spec: Spec) -> None:
         self._spec = spec
         self._loop = asyncio.get_running_loop()
         self._free_at = 0.0
 
-    async def read(self, prompt: int) -> float:
-        """Read a prompt; how long that took, in seconds."""
+    async def prefill(self, prompt: int) -> float:
+        """Prefill a prompt; return the seconds that this took."""
         now = self._loop.time()
-        self._free_at = max(now, self._free_at) + prompt * self._spec.read_s
+        self._free_at = (
+            max(now, self._free_at) + prompt * self._spec.prefill_token_s
+        )
         await asyncio.sleep(self._free_at - now)
         return self._free_at - now
 
 
 class _Gateway:
-    """The decisions of one gateway."""
+    """One gateway's production queue, choice and load table."""
 
     def __init__(self, *, number: int, spec: Spec) -> None:
         self.vm = types.VmId(f"g{number}")
-        self.told = asyncio.Event()
-        self.changed = asyncio.Event()
-        self.loads = endpoint_load.LoadTable(on_change=self.told.set)
+        self.load_changed = asyncio.Event()
+        self.capacity_changed = asyncio.Event()
+        self.loads = endpoint_load.LoadTable(on_change=self.load_changed.set)
         self.health = endpoint_health.HealthTracker()
-        self.pace = token_timing_mod.TokenTiming()
+        self.token_timing = token_timing_mod.TokenTiming()
         self.lengths = answer_lengths.AnswerLengths()
-        self.number = 0
+        self.sequence = 0
         rng = random.Random(number)
         table = endpoints.EndpointTable()
         for item in _endpoints(spec):
@@ -237,22 +240,24 @@
             rng=rng,
         )
         chooser.set_gateways(spec.gateways)
-        self.room = admission_queue_mod.AdmissionQueue(
+        self.admission_queue = admission_queue_mod.AdmissionQueue(
             chooser=chooser,
             loads=self.loads,
-            pace=self.pace,
+            pace=self.token_timing,
             rng=rng,
             vm=self.vm,
-            capacity_changed=self.changed,
-            on_waiters_changed=self.told.set,
+            capacity_changed=self.capacity_changed,
+            on_waiters_changed=self.load_changed.set,
         )
-        # As after a while of serving.
-        self.pace.record_prefill(1000, 1000 * spec.read_s)
-        made_s = spec.token_s + 8 * spec.token_each_s
-        self.pace.record_decode(4000, 4000 * made_s)
+        # Timings of a gateway that has served for some time.
+        self.token_timing.record_prefill(1000, 1000 * spec.prefill_token_s)
+        token_s = spec.token_s + 8 * spec.token_each_s
+        self.token_timing.record_decode(4000, 4000 * token_s)
 
-    def uses(self) -> dict[types.EndpointId, endpoint_load.EndpointLoad]:
-        """Its figures, as they are told."""
+    def reported_loads(
+        self,
+    ) -> dict[types.EndpointId, endpoint_load.EndpointLoad]:
+        """Return a copy of this gateway's loads, to publish."""
         return {
             key: endpoint_load.EndpointLoad(
                 requests=use.requests,
@@ -287,7 +292,7 @@
 
 
 def _size(rng: random.Random, mean: float, spread: float) -> float:
-    """A size of a log-normal distribution of this mean and spread."""
+    """Return a sample of a log-normal distribution."""
     variance = math.log(1.0 + spread * spread)
     return rng.lognormvariate(
         math.log(mean) - variance / 2.0, math.sqrt(variance)
@@ -295,7 +300,7 @@
 
 
 class Fleet:
-    """Gateways and endpoints that serve a load."""
+    """Simulated gateways and endpoints that serve a load."""
 
     def __init__(self, *, spec: Spec, seed: int) -> None:
         self._spec = spec
@@ -306,19 +311,19 @@
             _Gateway(number=number, spec=spec)
             for number in range(spec.gateways)
         ]
-        self._readers = {
-            item.id: _Reader(spec=spec)
+        self._prefill_engines = {
+            item.id: _PrefillEngine(spec=spec)
             for item in _endpoints(spec)
             if item.role is types.Role.PREFILL
         }
-        self._engines = {
-            item.id: _Engine(spec=spec, outcome=self.outcome)
+        self._decode_engines = {
+            item.id: _DecodeEngine(spec=spec, outcome=self.outcome)
             for item in _endpoints(spec)
             if item.role is types.Role.DECODE
         }
 
     async def serve(self) -> Outcome:
-        """Serve the whole load."""
+        """Serve the whole load; return the outcome."""
         async with self._running(), asyncio.TaskGroup() as group:
             end = self._loop.time() + self._spec.seconds
             while (now := self._loop.time()) < end:
@@ -329,22 +334,22 @@
 
     def _rate(self, now: float) -> float:
         spec = self._spec
-        since = now - spec.crowd_at
-        crowd = 0.0 <= since < spec.crowd_s
-        return spec.rate * (spec.crowd_x if crowd else 1.0)
+        since = now - spec.surge_at
+        surge = 0.0 <= since < spec.surge_s
+        return spec.rate * (spec.surge_factor if surge else 1.0)
 
     @contextlib.asynccontextmanager
     async def _running(self) -> AsyncIterator[None]:
         tasks = [
             asyncio.create_task(engine.run())
-            for engine in self._engines.values()
+            for engine in self._decode_engines.values()
         ]
         for gateway in self._gateways:
-            tasks.append(asyncio.create_task(gateway.room.run()))
-            tasks.append(asyncio.create_task(self._tell(gateway)))
-        # All know of each other before anybody asks.
+            tasks.append(asyncio.create_task(gateway.admission_queue.run()))
+            tasks.append(asyncio.create_task(self._publish_loop(gateway)))
+        # All gateways have a first report before requests arrive.
         for gateway in self._gateways:
-            self._send(gateway)
+            self._publish(gateway)
         try:
             yield
         finally:
@@ -352,45 +357,45 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _tell(self, gateway: _Gateway) -> None:
+    async def _publish_loop(self, gateway: _Gateway) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
-                    await gateway.told.wait()
-                await asyncio.sleep(self._spec.told_s)
-            gateway.told.clear()
-            self._send(gateway)
+                    await gateway.load_changed.wait()
+                await asyncio.sleep(self._spec.report_delay_s)
+            gateway.load_changed.clear()
+            self._publish(gateway)
 
-    def _send(self, gateway: _Gateway) -> None:
+    def _publish(self, gateway: _Gateway) -> None:
         self.outcome.messages += 1
-        gateway.number += 1
+        gateway.sequence += 1
         now = self._loop.time()
-        uses = gateway.uses()
-        first = gateway.room.most_urgent_waiters(now)
+        uses = gateway.reported_loads()
+        first = gateway.admission_queue.most_urgent_waiters(now)
         for other in self._gateways:
             if other is not gateway:
                 other.loads.receive(
-                    gateway.vm, 1, gateway.number, uses, now, waiting=first
+                    gateway.vm, 1, gateway.sequence, uses, now, waiting=first
                 )
-                other.changed.set()
+                other.capacity_changed.set()
 
     async def _request(self) -> None:
         spec = self._spec
         rng = self._rng
-        self.outcome.asked += 1
+        self.outcome.requests += 1
         gateway = rng.choice(self._gateways)
         prompt = int(_size(rng, spec.prompt, spec.prompt_spread))
         answer = min(
-            spec.most_answer,
+            spec.max_answer,
             1 + int(_size(rng, spec.answer, spec.answer_spread)),
         )
         off = rng.lognormvariate(0.0, spec.guess_spread)
-        guess = min(spec.most_answer, int(answer * off))
+        guess = min(spec.max_answer, int(answer * off))
         began = self._loop.time()
-        while not await self._try(gateway, prompt, answer, guess, began):
+        while not await self._attempt(gateway, prompt, answer, guess, began):
             self.outcome.rejected += 1
 
-    async def _try(
+    async def _attempt(
         self,
         gateway: _Gateway,
         prompt: int,
@@ -398,52 +403,54 @@
         guess: int,
         began: float,
     ) -> bool:
-        """One attempt; False if the endpoint had no room for it."""
+        """Make one attempt; return False if the endpoint rejects it."""
         spec = self._spec
         progress = kv_forecast.Progress(
             prompt=prompt,
-            guess=gateway.lengths.expected(guess, spec.most_answer),
-            max_tokens=spec.most_answer,
-            event_tokens=spec.event,
+            guess=gateway.lengths.expected(guess, spec.max_answer),
+            max_tokens=spec.max_answer,
+            event_tokens=spec.event_tokens,
             spread=gateway.lengths.spread,
         )
-        place = await gateway.room.reserve(
-            _wanted(spec, gateway.pace, progress.run, began)
+        reservation = await gateway.admission_queue.reserve(
+            _reservation_request(
+                spec, gateway.token_timing, progress.run, began
+            )
         )
-        if isinstance(place, reservation_mod.NoCapacity):
+        if isinstance(reservation, reservation_mod.NoCapacity):
             self.outcome.refused += 1
             return True
         try:
-            if place.prefill_endpoint is not None:
-                took = await self._readers[place.prefill_endpoint.id].read(
-                    prompt
-                )
-                gateway.pace.record_prefill(prompt, took)
-            place.record_prefilled()
+            if reservation.prefill_endpoint is not None:
+                took = await self._prefill_engines[
+                    reservation.prefill_endpoint.id
+                ].prefill(prompt)
+                gateway.token_timing.record_prefill(prompt, took)
+            reservation.record_prefilled()
             stream = _Stream(prompt=prompt, answer=answer, progress=progress)
-            engine = self._engines[place.endpoint.id]
-            if not engine.take(stream):
+            engine = self._decode_engines[reservation.endpoint.id]
+            if not engine.start(stream):
                 self.outcome.wasted += prompt
                 gateway.health.record_rejection(
-                    place.endpoint.id, place.reserved_at
+                    reservation.endpoint.id, reservation.reserved_at
                 )
                 return False
             await stream.ended.wait()
         finally:
-            place.release()
+            reservation.release()
         gateway.lengths.record_answer(guess=guess, actual=answer)
-        self._note(stream, began)
+        self._record_outcome(stream, began)
         return True
 
-    def _note(self, stream: _Stream, began: float) -> None:
+    def _record_outcome(self, stream: _Stream, began: float) -> None:
         late = stream.first_at - began > self._spec.target_s
-        paused = stream.longest_s > self._spec.pause_s
+        paused = stream.longest_pause_s > self._spec.max_pause_s
         self.outcome.late_start += late
         self.outcome.long_pause += paused
         self.outcome.in_time += not (late or paused)
 
 
-def _wanted(
+def _reservation_request(
     spec: Spec,
     pace: token_timing_mod.TokenTiming,
     run: kv_forecast.Run,
@@ -452,14 +459,14 @@
     start_s = pace.start_s(run.held_tokens)
     return reservation_mod.ReservationRequest(
         service=SERVICE,
-        memory_tokens=spec.memory,
+        memory_tokens=spec.memory_tokens,
         run=run,
         exclude=(),
-        event_interval_s=pace.decode_s(spec.event),
+        event_interval_s=pace.decode_s(spec.event_tokens),
         claim=queue_order.WaitingRequest(
             priority=1,
             target=began + spec.target_s,
-            start_by=began + _PATIENCE * spec.target_s,
+            start_by=began + _PATIENCE_TARGETS * spec.target_s,
             deadline=began + 14.0,
             start_s=start_s,
             run_s=start_s + pace.decode_s(run.remaining_tokens),
@@ -468,5 +475,5 @@
 
 
 async def serve(spec: Spec, seed: int) -> Outcome:
-    """What becomes of a load on a fleet."""
+    """Simulate a fleet under its load."""
     return await Fleet(spec=spec, seed=seed).serve()
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -1,8 +1,7 @@
-"""Many gateways and one endpoint that names a rate, in virtual time.
+"""Simulates many gateways and one rate-limited endpoint in virtual time.
 
-What is worth following of the rest of a site: requests that come at random,
-datagrams that take their time and may be lost, gateways that start again,
-that are cut off from others, and what coordinators tell of who there is.
+Covers random arrivals, datagram delay and loss, gateway restarts, network
+partitions and the list of gateways that coordinators publish.
 """
 
 import abc
@@ -29,12 +28,12 @@
 from rackpost.testing import virtual
 from rackpost import types
 
-# What the users allow in a window, of that many seconds.
+# A window may contain this factor of the rate, plus a fixed burst.
 WINDOW_S = 4.0
-_ALLOWED_X = 1.5
-_ALLOWED_MORE = 5
-# Gateways tell each other this often, in seconds.
-_TELL_S = 1.0
+_ALLOWED_RATE_FACTOR = 1.5
+_ALLOWED_BURST = 5
+# Between two load reports of a gateway.
+_PUBLISH_INTERVAL_S = 1.0
 _DECODER = codec.Decoder(kinds=messages.BetweenGateways)
 
 ENDPOINT = endpoints.Endpoint(
@@ -43,20 +42,20 @@
 
 
 class Spec(msgspec.Struct, frozen=True, kw_only=True):
-    """A site, its load and its faults; times in seconds.
+    """A simulated site, its load and its faults; times in seconds.
 
     Attributes:
-        rate: what the endpoint names, requests a second.
-        asked: requests a second that could go there, of all gateways.
-        waits: no other endpoint is left for them.
-        patience: how long a request that waits does so.
-        restart_each: a gateway starts again this often, its owner first.
-        cut: gateways fall in two halves from here to there.
+        rate: requests a second that the endpoint announces.
+        offered: requests a second that arrive at all gateways together.
+        waits: whether requests wait instead of using another endpoint.
+        patience: how long a request waits at most.
+        restart_each: interval between gateway restarts; 0 for none.
+        cut: start and end of a partition into two halves.
     """
 
     gateways: int = 5
     rate: float = 3.3
-    asked: float = 30.0
+    offered: float = 30.0
     waits: bool = False
     patience: float = 2.0
     seconds: float = 20.0
@@ -67,59 +66,59 @@
     cut: tuple[float, float] = (0.0, 0.0)
 
 
-class Way(abc.ABC):
-    """How one gateway decides whether it may send a request."""
+class RatePolicy(abc.ABC):
+    """Decides whether one gateway may send a request."""
 
     @abc.abstractmethod
     async def may_send(self) -> bool:
-        """Whether one request may be sent now."""
+        """Whether a request may be sent now."""
 
     @abc.abstractmethod
-    def take(self, data: bytes, sender: address.Address) -> None:
-        """A datagram has come."""
+    def receive(self, data: bytes, sender: address.Address) -> None:
+        """Handle a datagram from another gateway."""
 
     @abc.abstractmethod
-    def tell(self) -> None:
-        """A second has passed: tell the others."""
+    def publish(self) -> None:
+        """Publish this gateway's state to the others."""
 
 
 class World:
-    """Gateways, and when requests came to the endpoint."""
+    """Simulated gateways, and the times at which they sent requests."""
 
     def __init__(
         self,
         *,
         spec: Spec,
         seed: int,
-        make: Callable[["World", types.VmId], Way],
+        make: Callable[["World", types.VmId], RatePolicy],
     ) -> None:
         self.spec = spec
         self.rng = random.Random(seed)
         self.loop = asyncio.get_running_loop()
         self.names = [types.VmId(f"g{n}") for n in range(spec.gateways)]
         self._make = make
-        self.ways: dict[types.VmId, Way] = {}
-        self.at: list[float] = []
+        self.policies: dict[types.VmId, RatePolicy] = {}
+        self.sent_at: list[float] = []
         self.messages = 0
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def now(self) -> float:
-        """The clock of all, in seconds."""
+        """Return the virtual time in seconds."""
         return self.loop.time()
 
     def present(self) -> list[types.VmId]:
-        """The gateways that coordinators tell of."""
+        """Return the gateways that coordinators list."""
         return list(self.names)
 
     def is_apart(self, one: types.VmId, other: types.VmId) -> bool:
-        """Whether datagrams between two do not arrive."""
+        """Whether a partition separates two gateways."""
         begin, end = self.spec.cut
         half = len(self.names) // 2
         sides = [self.names.index(vm) < half for vm in (one, other)]
         return begin <= self.now() < end and sides[0] != sides[1]
 
     def send(self, me: types.VmId, other: types.VmId, data: bytes) -> None:
-        """A datagram on its way, which may be lost."""
+        """Send a datagram, which may be lost."""
         self.messages += 1
         lost = self.rng.random() < self.spec.loss
         if lost or self.is_apart(me, other):
@@ -128,9 +127,9 @@
         self.loop.call_later(delay, self._arrive, me, other, data)
 
     def _arrive(self, me: types.VmId, other: types.VmId, data: bytes) -> None:
-        way = self.ways.get(other)
-        if way is not None:
-            way.take(data, address.Address(host=me, port=1))
+        policy = self.policies.get(other)
+        if policy is not None:
+            policy.receive(data, address.Address(host=me, port=1))
 
     def _spawn(self, coro: Any) -> None:
         task = self.loop.create_task(coro)
@@ -139,9 +138,9 @@
 
     async def _request(self, vm: types.VmId) -> None:
         until = self.now() + self.spec.patience
-        while vm in self.ways:
-            if await self.ways[vm].may_send():
-                self.at.append(self.now())
+        while vm in self.policies:
+            if await self.policies[vm].may_send():
+                self.sent_at.append(self.now())
                 return
             if not self.spec.waits or self.now() >= until:
                 return
@@ -149,62 +148,67 @@
 
     async def _requests(self) -> None:
         while True:
-            await asyncio.sleep(self.rng.expovariate(self.spec.asked))
+            await asyncio.sleep(self.rng.expovariate(self.spec.offered))
             vm = self.rng.choice(self.names)
-            if vm in self.ways:
+            if vm in self.policies:
                 self._spawn(self._request(vm))
 
-    async def _tells(self, vm: types.VmId) -> None:
-        await asyncio.sleep(self.rng.random() * _TELL_S)
+    async def _publish_loop(self, vm: types.VmId) -> None:
+        await asyncio.sleep(self.rng.random() * _PUBLISH_INTERVAL_S)
         while True:
-            if vm in self.ways:
-                self.ways[vm].tell()
-            await asyncio.sleep(_TELL_S)
+            if vm in self.policies:
+                self.policies[vm].publish()
+            await asyncio.sleep(_PUBLISH_INTERVAL_S)
 
     async def _restarts(self) -> None:
         while self.spec.restart_each:
             await asyncio.sleep(self.spec.restart_each)
             owner = rate_decisions.owner(ENDPOINT.id, self.names)
-            # The owner each second time.
+            # Half of the restarts hit the owner of the rate.
             vm = self.rng.choice([owner, self.rng.choice(self.names)])
             self._spawn(self._restart(vm))
 
     async def _restart(self, vm: types.VmId) -> None:
-        self.ways.pop(vm, None)
+        self.policies.pop(vm, None)
         await asyncio.sleep(self.spec.down)
-        self.ways[vm] = self._make(self, vm)
+        self.policies[vm] = self._make(self, vm)
 
     async def play(self) -> None:
-        """Play it to its end."""
+        """Run the simulation for the specified time."""
         for vm in self.names:
-            self.ways[vm] = self._make(self, vm)
-            self._spawn(self._tells(vm))
+            self.policies[vm] = self._make(self, vm)
+            self._spawn(self._publish_loop(vm))
         self._spawn(self._requests())
         self._spawn(self._restarts())
         await asyncio.sleep(self.spec.seconds)
         for task in list(self._tasks):
             task.cancel()
 
-    def over(self) -> float:
-        """By how many requests the worst window was over, or below 0."""
-        allowed = _ALLOWED_X * WINDOW_S * self.spec.rate + _ALLOWED_MORE
-        return max(self._windows(), default=0) - allowed
+    def worst_excess(self) -> float:
+        """Return by how many requests the worst window exceeds its limit.
 
-    def _windows(self) -> Iterator[int]:
+        Negative if every window is within the limit.
+        """
+        allowed = (
+            _ALLOWED_RATE_FACTOR * WINDOW_S * self.spec.rate + _ALLOWED_BURST
+        )
+        return max(self._window_counts(), default=0) - allowed
+
+    def _window_counts(self) -> Iterator[int]:
         first = 0
-        for last, at in enumerate(self.at):
-            while self.at[first] <= at - WINDOW_S:
+        for last, at in enumerate(self.sent_at):
+            while self.sent_at[first] <= at - WINDOW_S:
                 first += 1
             yield last - first + 1
 
     @property
-    def used(self) -> float:
-        """The part of the rate that was used."""
-        return len(self.at) / (self.spec.rate * self.spec.seconds)
+    def utilization(self) -> float:
+        """The fraction of the rate that was used."""
+        return len(self.sent_at) / (self.spec.rate * self.spec.seconds)
 
 
-class GrantsWay(Way):
-    """The product's own: grants of one owner."""
+class GrantsPolicy(RatePolicy):
+    """The production policy: one owner grants shares of the rate."""
 
     def __init__(self, *, world: World, vm: types.VmId) -> None:
         self._world = world
@@ -218,8 +222,8 @@
             world.now(),
         )
         self._loads = endpoint_load.LoadTable(on_change=lambda: None)
-        self._number = 0
-        self._life = world.rng.getrandbits(32)
+        self._sequence = 0
+        self._incarnation = world.rng.getrandbits(32)
         self._grants = rate_grants.RateGrants(
             vm=vm,
             eligible=self._eligible,
@@ -252,8 +256,8 @@
             return False
         return True
 
-    def take(self, data: bytes, sender: address.Address) -> None:
-        """A figure of another gateway, or a message on a grant."""
+    def receive(self, data: bytes, sender: address.Address) -> None:
+        """Handle another gateway's load report or a grant message."""
         msg = _DECODER.decode(data)
         if isinstance(msg, messages.GatewayLoad):
             now = self._world.now()
@@ -261,34 +265,34 @@
         else:
             self._grants.receive(msg, sender)
 
-    def tell(self) -> None:
-        """Tell the others that this one is there."""
-        self._number += 1
+    def publish(self) -> None:
+        """Publish a load report, which shows that this gateway is alive."""
+        self._sequence += 1
         msg = messages.GatewayLoad(
             vm=self._vm,
             load_address=f"{self._vm}:1",
-            incarnation=self._life,
-            sequence=self._number,
+            incarnation=self._incarnation,
+            sequence=self._sequence,
             loads={},
         )
         data = codec.encode(msg)
         for name in self._world.names:
             if name != self._vm:
                 self._world.send(self._vm, name, data)
-        # It would be counted of all ways alike.
+        # Load reports are not counted: all policies send the same number.
         self._world.messages -= len(self._world.names) - 1
 
 
-def _grants(world: World, vm: types.VmId) -> Way:
-    return GrantsWay(world=world, vm=vm)
+def _grants(world: World, vm: types.VmId) -> RatePolicy:
+    return GrantsPolicy(world=world, vm=vm)
 
 
 def play(
     spec: Spec,
     seed: int,
-    make: Callable[[World, types.VmId], Way] = _grants,
+    make: Callable[[World, types.VmId], RatePolicy] = _grants,
 ) -> World:
-    """Play a site to its end; the product's own way unless told."""
+    """Run a simulation, with the production policy by default."""
 
     async def main() -> World:
         world = World(spec=spec, seed=seed, make=make)
--- a/rackpost/testing/site.py
+++ b/rackpost/testing/site.py
@@ -1,7 +1,7 @@
-"""A whole site in one event loop: entries, agents, stand-in endpoints.
+"""A site in one event loop: entries, agents and simulated endpoints.
 
-The entries and agents are the product's own; only the links (in process,
-with a delay) and the endpoints are stand-ins.
+Entries and agents are the production code.  The links, which run in process
+with a delay, and the endpoints are simulated.
 """
 
 import asyncio
@@ -29,13 +29,13 @@
     inside_s: float = 0.0001
     between_s: float = 0.0005
 
-    def of(self, one: str, two: str) -> float:
-        """The delay between two data centres."""
+    def between(self, one: str, two: str) -> float:
+        """Return the delay between two data centres, in seconds."""
         return self.inside_s if one == two else self.between_s
 
 
-class Place(NamedTuple):
-    """One endpoint of the site, and where it stands."""
+class EndpointConfig(NamedTuple):
+    """An endpoint's name, service, role and data centre."""
 
     name: str
     service: types.ServiceName
@@ -44,41 +44,41 @@
 
 
 class Node:
-    """One endpoint with its agent."""
+    """An endpoint with its agent."""
 
     def __init__(
         self,
         *,
-        place: Place,
+        config: EndpointConfig,
         engine: engine_mod.Engine,
         agent: agent_core.Agent,
     ) -> None:
-        self.place = place
+        self.config = config
         self.engine = engine
         self.agent = agent
         self.task = asyncio.create_task(agent.run())
         self.links: list[channel.LocalChannel] = []
 
     def kill_agent(self) -> None:
-        """The agent's process dies: its links and work with it."""
+        """Simulate the death of the agent's process."""
         self.task.cancel()
         self.agent.close()
 
 
-BookMaker = Callable[
+LedgerFactory = Callable[
     [reservations_mod.EndpointSpec], reservations_mod.EndpointLedger
 ]
 
 
-def promise_book(
+def make_reservation_ledger(
     spec: reservations_mod.EndpointSpec,
 ) -> reservations_mod.EndpointLedger:
-    """The product's book."""
+    """Return the ledger that production agents use."""
     return reservations_mod.ReservationLedger(spec=spec)
 
 
 class Site:
-    """Everything between callers and endpoints, and the endpoints."""
+    """A site's entries, agents and endpoints."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         delays: Delays,
         seed: int,
         engine_spec: engine.EngineSpec,
-        make_book: BookMaker = promise_book,
+        make_ledger: LedgerFactory = make_reservation_ledger,
         claims: claims_mod.Claims | None = None,
         lease_s: float = agent_core.LEASE_S,
     ) -> None:
@@ -98,54 +98,54 @@
         self.entries: list[entry_core.Entry] = []
         self.events: list[declared_events.DeclaredEvent] = []
         self._seed = seed
-        self._make_book = make_book
+        self._make_ledger = make_ledger
         self._claims = claims
         self._lease_s = lease_s
 
     def rng(self, name: str) -> random.Random:
-        """A generator of its own for a part of the site."""
+        """Return a random generator seeded for the named component."""
         return random.Random(f"{self._seed}/{name}")
 
-    def add_endpoint(self, place: Place) -> Node:
-        """Set up an endpoint and its agent, linked to every entry."""
-        found = self._make_engine(place)
+    def add_endpoint(self, config: EndpointConfig) -> Node:
+        """Add an endpoint and its agent, linked to every entry."""
+        found = self._make_engine(config)
         agent = agent_core.Agent(
             cfg=agent_core.AgentConfig(
-                agent=types.AgentId(place.name),
-                service=place.service,
-                data_centre=place.data_centre,
+                agent=types.AgentId(config.name),
+                service=config.service,
+                data_centre=config.data_centre,
                 lease_s=self._lease_s,
             ),
             engine=found,
-            ledger=self._make_book(self.spec_of(place)),
+            ledger=self._make_ledger(self.spec_of(config)),
         )
-        node = Node(place=place, engine=found, agent=agent)
-        self.nodes[place.name] = node
+        node = Node(config=config, engine=found, agent=agent)
+        self.nodes[config.name] = node
         for entry in self.entries:
             self._link(entry, node)
         return node
 
-    def _make_engine(self, place: Place) -> engine_mod.Engine:
-        rng = self.rng(place.name)
-        if place.role is types.Role.PLAIN:
+    def _make_engine(self, config: EndpointConfig) -> engine_mod.Engine:
+        rng = self.rng(config.name)
+        if config.role is types.Role.PLAIN:
             return plain.StandInPlain(ledger=self.ledger)
         return engine.StandInEngine(
-            name=place.name,
+            name=config.name,
             spec=self.engine_spec,
             peers=self.engines,
             rng=rng,
             ledger=self.ledger,
         )
 
-    def spec_of(self, place: Place) -> reservations_mod.EndpointSpec:
-        """What the operator states of an endpoint."""
+    def spec_of(self, config: EndpointConfig) -> reservations_mod.EndpointSpec:
+        """Return the operator's specification of an endpoint."""
         spec = self.engine_spec
-        if place.role is types.Role.PLAIN:
+        if config.role is types.Role.PLAIN:
             return reservations_mod.EndpointSpec(
-                role=place.role, slots=plain.SLOTS, step_s=plain.CALL_S
+                role=config.role, slots=plain.SLOTS, step_s=plain.CALL_S
             )
         return reservations_mod.EndpointSpec(
-            role=place.role,
+            role=config.role,
             slots=spec.slots,
             prefill_tokens_s=spec.prefill_tokens_s,
             prefill_base_s=spec.prefill_base_s,
@@ -160,7 +160,7 @@
         data_centre: types.DataCentre,
         policy: placement.Policy | None = None,
     ) -> entry_core.Entry:
-        """Set up an entry, linked to every agent."""
+        """Add an entry, linked to every agent."""
         rng = self.rng(name)
         entry = entry_core.Entry(
             cfg=entry_core.EntryConfig(
@@ -180,36 +180,36 @@
         return entry
 
     def _link(self, entry: entry_core.Entry, node: Node) -> None:
-        place = node.place
-        delay = self.delays.of(entry.cfg.data_centre, place.data_centre)
+        config = node.config
+        delay = self.delays.between(entry.cfg.data_centre, config.data_centre)
         here, there = channel.local_pair(delay_s=delay)
         node.links.append(there)
         node.agent.connect(there)
         entry.add_agent(
             pool.Member(
-                agent=types.AgentId(place.name),
-                service=place.service,
-                role=place.role,
-                data_centre=place.data_centre,
+                agent=types.AgentId(config.name),
+                service=config.service,
+                role=config.role,
+                data_centre=config.data_centre,
                 delay_s=delay,
             ),
             here,
         )
 
     def kill_entry(self, entry: entry_core.Entry) -> None:
-        """The entry's process dies: every link of it ends."""
+        """Simulate the death of the entry's process: close its links."""
         self.entries.remove(entry)
         for peer in entry.pool.peers():
             peer.conn.close()
 
     def held(self) -> set[types.RequestId]:
-        """Requests for which any engine holds memory."""
+        """Return the requests for which any engine holds memory."""
         found: set[types.RequestId] = set()
         for item in self.engines.values():
             found |= item.held()
         return found
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for node in self.nodes.values():
             node.kill_agent()
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -33,7 +33,7 @@
     @property
     def in_time_share(self) -> float:
         """The share of the requests that were answered in time."""
-        return self.in_time / self.asked
+        return self.in_time / self.requests
 
     @property
     def messages_a_second(self) -> float:
@@ -43,7 +43,7 @@
 
 @pytest.fixture(scope="module")
 def crowd() -> Mean:
-    return Mean(told_s=load_exchange.batching_delay_s(68))
+    return Mean(report_delay_s=load_exchange.batching_delay_s(68))
 
 
 def test_a_burst_is_answered_in_time(crowd: Mean) -> None:
@@ -59,14 +59,14 @@
     crowd: Mean, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(kv_forecast, "_CERTAINTY", 0.0)
-    without = Mean(told_s=load_exchange.batching_delay_s(68))
+    without = Mean(report_delay_s=load_exchange.batching_delay_s(68))
     assert crowd.preempted < 0.7 * without.preempted
     assert crowd.long_pause < 0.7 * without.long_pause
 
 
 def test_load_reports_are_sent_without_much_delay(crowd: Mean) -> None:
     """Late load reports let two gateways reserve the same capacity."""
-    late = Mean(told_s=0.054)
+    late = Mean(report_delay_s=0.054)
     assert crowd.long_pause < late.long_pause
     # Each gateway has few generations, so that this costs few messages.
     assert crowd.messages_a_second < 3.0
