--- a/rackpost/endpoint_notices.py
+++ b/rackpost/endpoint_notices.py
@@ -22,7 +22,7 @@
     """Raise Barred if the endpoint is ineligible now."""
     reason = eligible.ineligible_reason(endpoint, now)
     if reason is not None:
-        raise exceptions.Barred(reason.value)
+        raise exceptions.EndpointIneligible(reason.value)
 
 
 def record_answer(
--- a/rackpost/entry/attempt.py
+++ b/rackpost/entry/attempt.py
@@ -227,12 +227,12 @@
                 blocks=(
                     requirements.blocks if role is types.Role.PREFILL else ()
                 ),
-                urgent=(
+                urgent_higher_density=(
                     requirements.higher_density.urgent_load
                     if role is types.Role.PREFILL
                     else requirements.higher_density.urgent_rate
                 ),
-                denser=(
+                higher_density=(
                     requirements.higher_density.other_load
                     if role is types.Role.PREFILL
                     else requirements.higher_density.other_rate
--- a/rackpost/entry/claiming.py
+++ b/rackpost/entry/claiming.py
@@ -50,7 +50,7 @@
         self._loop = asyncio.get_running_loop()
         self._pending_fetches: dict[
             tuple[types.RequestId, types.Attempt],
-            asyncio.Future[messages.Held],
+            asyncio.Future[messages.StoredAnswer],
         ] = {}
         self._pending_seals: dict[
             tuple[types.RequestId, types.Attempt],
@@ -90,7 +90,7 @@
         if peer is None or peer.incarnation != holder.incarnation:
             return []
         key = (holder.req, holder.attempt)
-        fut: asyncio.Future[messages.Held] = self._loop.create_future()
+        fut: asyncio.Future[messages.StoredAnswer] = self._loop.create_future()
         self._pending_fetches[key] = fut
         peer.conn.send(messages.Fetch(req=key[0], attempt=key[1]))
         try:
@@ -101,7 +101,7 @@
         finally:
             self._pending_fetches.pop(key, None)
 
-    def handle_held(self, msg: messages.Held) -> None:
+    def handle_held(self, msg: messages.StoredAnswer) -> None:
         """Handle an agent's reply to a fetch."""
         fut = self._pending_fetches.get((msg.req, msg.attempt))
         if fut is not None and not fut.done():
@@ -190,7 +190,7 @@
         await self._claims.settle(key=req.claim, holder=holder, state=state)
 
 
-def _events_of(reply: messages.Held) -> list[request.Event]:
+def _events_of(reply: messages.StoredAnswer) -> list[request.Event]:
     if not reply.found:
         return []
     end = request.End(outcome=types.Outcome.ANSWERED, tokens=len(reply.pieces))
--- a/rackpost/entry/core.py
+++ b/rackpost/entry/core.py
@@ -157,7 +157,7 @@
         elif isinstance(msg, messages.Sealed):
             if self._claim_resolver is not None:
                 self._claim_resolver.handle_sealed(msg)
-        elif isinstance(msg, messages.Held):
+        elif isinstance(msg, messages.StoredAnswer):
             if self._claim_resolver is not None:
                 self._claim_resolver.handle_held(msg)
         elif not isinstance(msg, messages.Summary):
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -155,7 +155,7 @@
     exc: exceptions.ExchangeError,
 ) -> retry_decision.AttemptEnd:
     """Record that no connection was made and the request not sent."""
-    if isinstance(exc, exceptions.Barred):
+    if isinstance(exc, exceptions.EndpointIneligible):
         return _record_ineligible(call, endpoint, exc)
     call.tried.append(endpoint.id)
     return _record_broken(call, endpoint, exc, began=None)
@@ -164,7 +164,7 @@
 def _record_ineligible(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
-    exc: exceptions.Barred,
+    exc: exceptions.EndpointIneligible,
 ) -> retry_decision.AttemptEnd:
     """Record that the endpoint became ineligible after it was chosen.
 
@@ -193,7 +193,7 @@
     try:
         reply = await send(call, endpoint, conn, extra_headers, grant)
         ended = await _receive_answer(call, endpoint, reply, began)
-    except exceptions.Barred as exc:
+    except exceptions.EndpointIneligible as exc:
         call.tried.remove(endpoint.id)
         ended = _record_ineligible(call, endpoint, exc)
     except exceptions.ExchangeError as exc:
@@ -243,7 +243,7 @@
     """Record a broken attempt; `began` is None if it was not sent."""
     site = call.site
     now = site.loop_time()
-    if not isinstance(exc, exceptions.NoPlace):
+    if not isinstance(exc, exceptions.ConnectionLimitReached):
         site.health.record_failure(endpoint.id, now)
     call.log(
         "Attempt broke.",
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -251,7 +251,7 @@
         if self.responder.started:
             self.responder.abort()
         else:
-            self.responder.whole(status, [], b"")
+            self.responder.send(status, [], b"")
 
     def _count(self, reason: Reason) -> None:
         self.site.metrics.count("own_answers", reason, self.route.name)
@@ -309,7 +309,7 @@
 
 def require_key(responder: server.Responder) -> None:
     """Answer that the request has no known key."""
-    responder.whole(401, [headers.AUTH_CHALLENGE], b"")
+    responder.send(401, [headers.AUTH_CHALLENGE], b"")
 
 
 def refuse(
@@ -317,4 +317,4 @@
 ) -> None:
     """Answer that the request was not run, with a Retry-After header."""
     value = b"%.2f" % retry_after_s
-    responder.whole(status, [(b"retry-after", value)], b"")
+    responder.send(status, [(b"retry-after", value)], b"")
--- a/rackpost/gateway/endpoint_calls.py
+++ b/rackpost/gateway/endpoint_calls.py
@@ -32,7 +32,7 @@
     check_eligible(site, endpoint)
     max_connections = site.max_connections_to(service)
     async with site.pool.connection(
-        endpoint.address, most=max_connections
+        endpoint.address, limit=max_connections
     ) as conn:
         # Another request's answer may have made it ineligible meanwhile.
         check_eligible(site, endpoint)
--- a/rackpost/gateway/handler.py
+++ b/rackpost/gateway/handler.py
@@ -40,7 +40,7 @@
     def __init__(self, *, site: site_mod.Site) -> None:
         self._site = site
         self._waiting = 0
-        self._no_key_log = logs.Storm(pause_s=_NO_KEY_LOG_INTERVAL_S)
+        self._no_key_log = logs.LineRateLimiter(pause_s=_NO_KEY_LOG_INTERVAL_S)
 
     async def handle(
         self, req: message.Request, responder: server.Responder
@@ -56,7 +56,7 @@
         route = routes.find(host.decode("latin-1"), req.path.decode("latin-1"))
         if route is None:
             self._count_own_answer(call_mod.Reason.NO_ROUTE, req)
-            responder.whole(404, [], b"")
+            responder.send(404, [], b"")
             return
         caller = callers.Caller(routes=routes, req=req)
         if not caller.may_use(route):
@@ -93,7 +93,7 @@
         """Count a request without a known key; log only some of them."""
         reason = call_mod.Reason.NO_KEY
         self._site.metrics.count("own_answers", reason, route.name)
-        more = self._no_key_log.passes(self._site.loop_time())
+        more = self._no_key_log.allow(self._site.loop_time())
         if more is not None:
             self._log_own_answer(reason, req, route=route.name, more=more)
 
--- a/rackpost/gateway/prefill.py
+++ b/rackpost/gateway/prefill.py
@@ -233,7 +233,9 @@
     timeout_s: float,
     began: float,
 ) -> _PrefillEnd:
-    if not isinstance(exc, (exceptions.NoPlace, exceptions.Barred)):
+    if not isinstance(
+        exc, (exceptions.ConnectionLimitReached, exceptions.EndpointIneligible)
+    ):
         call.site.health.record_failure(endpoint.id, call.site.loop_time())
     call.log(
         "Prefill failed.",
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -107,7 +107,7 @@
             rng.getrandbits(_REQUEST_NUMBER_BITS)
         )
         self._pending: dict[int, asyncio.Future[messages.GrantAnswer]] = {}
-        self._log_pauses = logs.Pauses(pause_s=_LOG_INTERVAL_S)
+        self._log_pauses = logs.SubjectRateLimiter(pause_s=_LOG_INTERVAL_S)
         # Set by LoadExchange, which owns the socket.
         self.send: Send = _send_nothing
 
@@ -150,7 +150,9 @@
         if grant is None or not grant.is_valid_for(
             endpoint, self._loop.time()
         ):
-            raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
+            raise exceptions.EndpointIneligible(
+                eligibility.IneligibleReason.RATE.value
+            )
         grant.is_spent = True
 
     @contextlib.asynccontextmanager
@@ -194,7 +196,9 @@
             return Grant(endpoint=endpoint, owner=owner, at=now)
         self._count(_GrantOutcome.USED_UP, endpoint)
         self._log(endpoint, owner, "Rate is used up.", decision.wait_s)
-        raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
+        raise exceptions.EndpointIneligible(
+            eligibility.IneligibleReason.RATE.value
+        )
 
     def _count(
         self, outcome: _GrantOutcome, endpoint: endpoints.Endpoint
@@ -240,7 +244,7 @@
             self._eligible.gate.record_no_answer(endpoint, self._loop.time())
             self._count(_GrantOutcome.UNANSWERED, endpoint)
             self._log(endpoint, owner, "Owner of a rate does not answer.")
-            raise exceptions.Barred(
+            raise exceptions.EndpointIneligible(
                 eligibility.IneligibleReason.RATE.value
             ) from exc
         finally:
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -252,7 +252,7 @@
                 ENDPOINT, priority=2, waits=self._world.spec.waits
             ) as grant:
                 self._grants.spend(ENDPOINT, grant)
-        except exceptions.Barred:
+        except exceptions.EndpointIneligible:
             return False
         return True
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -24,7 +24,7 @@
 async def asks(req: message.Request, responder: server.Responder) -> None:
     """Refuse a request and ask for a back-off."""
     refusal_headers = [(b"x-not-executed", b"1"), (b"retry-after", BACKOFF)]
-    responder.whole(503, refusal_headers, b"")
+    responder.send(503, refusal_headers, b"")
 
 
 async def send(
@@ -282,7 +282,7 @@
                         (b"x-not-executed", b"1"),
                         (b"retry-after", b"1"),
                     ]
-                    responder.whole(503, refusal_headers, b"")
+                    responder.send(503, refusal_headers, b"")
 
                 return answer
 
--- a/tests/test_backoff_soak.py
+++ b/tests/test_backoff_soak.py
@@ -140,7 +140,7 @@
         if self.endpoint.extra_headers and incarnation == self.endpoint.ident:
             self._forbid(incarnation, gateway, 1e9)
         if self._rng.random() < self._failure_rate:
-            responder.whole(500, self.endpoint.extra_headers, b"")
+            responder.send(500, self.endpoint.extra_headers, b"")
             return
         await self.endpoint.default_answer(req, responder)
 
@@ -153,9 +153,7 @@
             (b"x-not-executed", b"1"),
             (b"retry-after", b"%.2f" % backoff_s),
         ]
-        responder.whole(
-            503, refusal_headers + self.endpoint.extra_headers, b""
-        )
+        responder.send(503, refusal_headers + self.endpoint.extra_headers, b"")
         if self.endpoint.extra_headers:
             self._forbid(incarnation, gateway, 1e9)
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -172,7 +172,7 @@
 async def _unframed(req: message.Request, responder: server.Responder) -> None:
     """Answer without a length: the answer ends with the connection."""
     responder._conn.closing = True
-    responder.bare(200, platform_site.vouching_headers(req))
+    responder.send_head(200, platform_site.vouching_headers(req))
     responder._conn.write(b"whole, or not")
 
 
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -173,8 +173,8 @@
 
 
 def test_many_bad_keys_are_logged_once_a_second_and_counted() -> None:
-    storm = logs.Storm(pause_s=1.0)
-    passed = [storm.passes(0.001 * at) for at in range(3000)]
+    storm = logs.LineRateLimiter(pause_s=1.0)
+    passed = [storm.allow(0.001 * at) for at in range(3000)]
     counts = [more for more in passed if more is not None]
     assert len(counts) == 3
     assert counts[0] == 0
--- a/tests/test_rate_soak.py
+++ b/tests/test_rate_soak.py
@@ -117,7 +117,7 @@
             if self._named_at is None:
                 self._named_at = loop.time()
         if self._rng.random() < self._failure_rate:
-            responder.whole(500, self.endpoint.extra_headers, b"")
+            responder.send(500, self.endpoint.extra_headers, b"")
             return
         await self.endpoint.default_answer(req, responder)
 
