--- a/rackpost/entry/attempt.py
+++ b/rackpost/entry/attempt.py
@@ -21,8 +21,8 @@
 REPLY_TIMEOUT_S = 0.25
 # Refused reservations after which an attempt gives up.
 MAX_REFUSALS = 2
-# How long before the decode slot is free a prefill may finish; engines
-# keep its KV cache for less than a second.
+# A prefill finishes at most this long before the decode slot is free, as
+# engines keep its KV cache for less than a second.
 MAX_PREFILL_LEAD_S = 0.4
 # Longer than an agent takes to report a stalled engine.
 _AGENT_TIMEOUT_S = 6.0
@@ -44,7 +44,7 @@
 
 
 class Attempt:
-    """Runs one attempt: `run` yields the answer and then sets `result`.
+    """Runs one attempt: `run` yields the answer, and sets `result` at its end.
 
     `requirements` is what the placement policy sees of the request, with
     the time that is left for this attempt.
@@ -93,7 +93,7 @@
     # Messages and link losses, passed in by the entry.
 
     def receive(self, agent: types.AgentId, msg: msgspec.Struct) -> bool:
-        """Queue a message from an agent; False if the agent is not in use."""
+        """Queue a message; False if the attempt does not use the agent."""
         if agent not in self._active_peers:
             return False
         self._inbox.put_nowait(msg)
@@ -123,7 +123,7 @@
     # Reservation.
 
     async def reserve(self) -> types.Refusal | None:
-        """Reserve all endpoints; return None, or the reason of a refusal."""
+        """Reserve all endpoints; return None, or why it was refused."""
         while True:
             plan = self._policy.place(
                 requirements=self._requirements,
--- a/rackpost/entry/attempt_result.py
+++ b/rackpost/entry/attempt_result.py
@@ -17,7 +17,7 @@
 
 __all__ = ["AttemptResultHandler"]
 
-# Told to callers whose request failed and was not retried.
+# Retry-After of requests that failed and are not retried by the entry.
 _DEFAULT_RETRY_AFTER_S = 1.0
 # Refusals of a request whose key another attempt holds.
 _CLAIM_REFUSALS = frozenset(
--- a/rackpost/entry/claiming.py
+++ b/rackpost/entry/claiming.py
@@ -113,9 +113,9 @@
         claimant: claims_mod.Holder,
         holder: claims_mod.Holder,
     ) -> claims_mod.ClaimReply:
-        """Claim a key again that the agent of its holder lets go.
+        """Settle the claim of a holder that has ended, and claim its key.
 
-        If the holder is not running, its claim is settled first.
+        While the holder may be running, the key is left to it.
         """
         assert req.claim is not None
         status = await self._holder_status(holder, req.terms.repeat)
--- a/rackpost/entry/control_claims.py
+++ b/rackpost/entry/control_claims.py
@@ -111,9 +111,11 @@
             await asyncio.sleep(_RETRY_INTERVAL_S)
             return
         assert isinstance(result, commands.ClaimResults)
-        for item, state, found in zip(batch, result.states, result.holders):
+        for item, state, holder_claim in zip(
+            batch, result.states, result.holders
+        ):
             if not item.fut.done():
-                item.fut.set_result(_reply(state, found))
+                item.fut.set_result(_reply(state, holder_claim))
 
     async def _submit(
         self, cmd: commands.ClaimBatch, *, retry: bool
@@ -126,10 +128,15 @@
         return await self._client.ask(cmd)
 
 
-def _reply(state: str, found: commands.ClaimOne | None) -> claims.ClaimReply:
+def _reply(
+    state: str, holder_claim: commands.ClaimOne | None
+) -> claims.ClaimReply:
     holder = None
-    if found is not None:
+    if holder_claim is not None:
         holder = claims.Holder(
-            found.agent, found.incarnation, found.req, found.attempt
+            holder_claim.agent,
+            holder_claim.incarnation,
+            holder_claim.req,
+            holder_claim.attempt,
         )
     return claims.ClaimReply(claims.ClaimState(state), holder)
--- a/rackpost/entry/demand_tracker.py
+++ b/rackpost/entry/demand_tracker.py
@@ -83,12 +83,12 @@
 
     def last_higher_density_load(self, service: types.ServiceName) -> float:
         """Return the prefill load above the density of the last request."""
-        found = self._services.get(service)
-        if found is None:
+        tracked = self._services.get(service)
+        if tracked is None:
             return 0.0
         return (
-            found.last_higher_density.urgent_load
-            + found.last_higher_density.other_load
+            tracked.last_higher_density.urgent_load
+            + tracked.last_higher_density.other_load
         )
 
     def _offer(
@@ -122,10 +122,10 @@
         rates = {
             kind: rate * entries for kind, rate in estimator.rates(at).items()
         }
-        found = declared_events_mod.expected_rates(
+        expected = declared_events_mod.expected_rates(
             declared, seen=rates, now=self._wall()
         )
         # This entry's share of the rates of the site.
         estimator.set_declared_rates(
-            {kind: rate / entries for kind, rate in found.items()}
+            {kind: rate / entries for kind, rate in expected.items()}
         )
--- a/rackpost/entry/http.py
+++ b/rackpost/entry/http.py
@@ -112,15 +112,15 @@
         request_id = types.RequestId(req.path_params["request_id"])
         try:
             _, caller = self._authenticate(req)
-            found = self._entry.traces.get(request_id)
-            if found is None or found.caller != caller:
+            trace = self._entry.traces.get(request_id)
+            if trace is None or trace.caller != caller:
                 raise exceptions.BadRequest(
                     "unknown-request", "not one of your latest", status=404
                 )
         except exceptions.BadRequest as exc:
             return _bad_request_response(exc, request_id)
         return responses.Response(
-            msgspec.json.encode(found), media_type="application/json"
+            msgspec.json.encode(trace), media_type="application/json"
         )
 
     # Requests.
@@ -205,12 +205,12 @@
         except exceptions.BadRequest as exc:
             return _bad_request_response(exc, _new_id())
         now = time.time()
-        found = [
+        models = [
             {"id": name, "object": "model", "owned_by": "rackpost"}
             for name in sorted(tree.services())
             if tree.value(caller, name, "", "type", now) == "model"
         ]
-        return responses.JSONResponse({"object": "list", "data": found})
+        return responses.JSONResponse({"object": "list", "data": models})
 
     async def _plain(self, req: requests.Request) -> responses.Response:
         request_id = _new_id()
@@ -280,10 +280,10 @@
             )
         kind = req.headers.get(_KIND_HEADER)
         if kind is None:
-            found = tree.value(
+            default_kind = tree.value(
                 caller, service, "", "default_kind", time.time()
             )
-            kind = str(found)
+            kind = str(default_kind)
         elif kind not in tree.kinds(service):
             raise exceptions.BadRequest(
                 "unknown-kind", f"{service} has no kind {kind!r}"
--- a/rackpost/entry/openai.py
+++ b/rackpost/entry/openai.py
@@ -109,15 +109,15 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as exc:
         raise exceptions.BadRequest("not-json", str(exc)) from exc
     try:
-        asked = msgspec.convert(raw, _RequestFields)
+        fields = msgspec.convert(raw, _RequestFields)
     except (msgspec.ValidationError, RecursionError) as exc:
         raise exceptions.BadRequest("wrong-types", str(exc)) from exc
-    if asked.n != 1:
+    if fields.n != 1:
         raise exceptions.BadRequest("n-not-one", "only n=1 is served")
-    prompt = _prompt(asked, chat)
-    limit = asked.max_completion_tokens or asked.max_tokens
+    prompt = _prompt(fields, chat)
+    limit = fields.max_completion_tokens or fields.max_tokens
     if limit is None:
-        limit = default_tokens(asked.model)
+        limit = default_tokens(fields.model)
     raw.pop("stream", None)
     raw.pop("stream_options", None)
     raw.pop("max_completion_tokens", None)
@@ -125,11 +125,11 @@
         # Callers may not control the engine's scheduling and transfers.
         raw.pop(name, None)
     raw["max_tokens"] = limit
-    options = asked.stream_options or _StreamOptions()
+    options = fields.stream_options or _StreamOptions()
     return Parsed(
-        model=asked.model,
+        model=fields.model,
         chat=chat,
-        stream=asked.stream,
+        stream=fields.stream,
         usage=options.include_usage,
         prompt=prompt,
         max_tokens=limit,
@@ -137,16 +137,16 @@
     )
 
 
-def _prompt(asked: _RequestFields, chat: bool) -> bytes:
+def _prompt(fields: _RequestFields, chat: bool) -> bytes:
     if not chat:
-        if asked.prompt is None:
+        if fields.prompt is None:
             raise exceptions.BadRequest("no-prompt", "'prompt' is missing")
-        return asked.prompt.encode()
-    if not asked.messages:
+        return fields.prompt.encode()
+    if not fields.messages:
         raise exceptions.BadRequest("no-messages", "'messages' is empty")
-    if len(asked.messages) > _MAX_MESSAGES:
+    if len(fields.messages) > _MAX_MESSAGES:
         raise exceptions.BadRequest("too-many-messages", "too many messages")
-    texts = [_text(msg) for msg in asked.messages]
+    texts = [_text(msg) for msg in fields.messages]
     return "\n".join(texts).encode()
 
 
@@ -168,11 +168,11 @@
 
 def usage_of(prompt: bytes, tokens: int) -> Usage:
     """Return the usage of an answer of `tokens` tokens."""
-    asked = prefix.count_tokens(prompt)
+    prompt_tokens = prefix.count_tokens(prompt)
     return Usage(
-        prompt_tokens=asked,
+        prompt_tokens=prompt_tokens,
         completion_tokens=tokens,
-        total_tokens=asked + tokens,
+        total_tokens=prompt_tokens + tokens,
     )
 
 
