--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -40,13 +40,13 @@
 
 
 def _load(role: types.Role) -> messages.Load:
-    room = tuple(0.1 for _ in messages.ROOM_SLACKS_S)
+    room = tuple(0.1 for _ in messages.SLACKS_S)
     return messages.Load(
         role=role,
         revision=types.Revision(9),
         slots=20,
         used=9,
-        room_s=room,
+        longest_job_s=room,
     )
 
 
--- a/rackpost/agent/answer_cache.py
+++ b/rackpost/agent/answer_cache.py
@@ -18,7 +18,7 @@
 class _CachedAnswer(NamedTuple):
     """An answer, its size and when it ended."""
 
-    answer: messages.Held
+    answer: messages.StoredAnswer
     size: int
     at: float
 
@@ -48,11 +48,11 @@
         if self._size <= _MAX_ANSWER_BYTES:
             self._body.append(data)
 
-    def answer(self, key: slots.AttemptKey) -> messages.Held | None:
+    def answer(self, key: slots.AttemptKey) -> messages.StoredAnswer | None:
         """Return the answer; None if it is too large to keep."""
         if self._size > _MAX_ANSWER_BYTES:
             return None
-        return messages.Held(
+        return messages.StoredAnswer(
             req=key.req,
             attempt=key.attempt,
             found=True,
@@ -93,9 +93,11 @@
             or oldest.at < now - attempts.RETENTION_S
         )
 
-    def get(self, key: slots.AttemptKey) -> messages.Held:
+    def get(self, key: slots.AttemptKey) -> messages.StoredAnswer:
         """Return the answer, or a message that it is not kept."""
         cached = self._held.get(key)
         if cached is not None:
             return cached.answer
-        return messages.Held(req=key.req, attempt=key.attempt, found=False)
+        return messages.StoredAnswer(
+            req=key.req, attempt=key.attempt, found=False
+        )
--- a/rackpost/cmd_gateway.py
+++ b/rackpost/cmd_gateway.py
@@ -32,7 +32,7 @@
 
 def main() -> None:
     """Run the program."""
-    policy = site_program.checked(
+    policy = site_program.read_or_exit(
         lambda: policy_mod.from_environment(os.environ)
     )
     site_program.run(logs.Part.GATEWAY, functools.partial(serve, policy))
--- a/rackpost/cmd_operator.py
+++ b/rackpost/cmd_operator.py
@@ -27,8 +27,8 @@
 _TIMEOUT_S = 5.0
 
 
-def _control(asked: operator_commands.Site) -> operator_client.Control:
-    return operator_client.Control(
+def _control(asked: operator_commands.Site) -> operator_client.ControlClient:
+    return operator_client.ControlClient(
         addresses=asked.control, key_file=asked.operator_key_file
     )
 
@@ -42,7 +42,7 @@
     return text
 
 
-def _head(who: operator_client.Control, path: str) -> int:
+def _head(who: operator_client.ControlClient, path: str) -> int:
     return int(who.get("/v1/settings", path=path)["revision"])
 
 
@@ -208,7 +208,7 @@
     return "\n".join(lines)
 
 
-def _event_revision(who: operator_client.Control, name: str) -> int:
+def _event_revision(who: operator_client.ControlClient, name: str) -> int:
     for item in who.get("/v1/events"):
         if item["event"]["name"] == name:
             return int(item["revision"])
--- a/rackpost/coordinator/api.py
+++ b/rackpost/coordinator/api.py
@@ -56,7 +56,9 @@
         self._loop = asyncio.get_running_loop()
         self._services = services
         self._quarantine = quarantine
-        self._refusals = logs.Pauses(pause_s=_REFUSAL_LOG_INTERVAL_S)
+        self._refusals = logs.SubjectRateLimiter(
+            pause_s=_REFUSAL_LOG_INTERVAL_S
+        )
         self._node = node
         self._directory = directory
         self._metrics = metrics
@@ -224,7 +226,7 @@
             )
             _respond(responder, 503, "not confirmed by a quorum in time")
             return
-        responder.whole(200, _JSON, routing.source)
+        responder.send(200, _JSON, routing.source)
 
 
 def _respond(responder: server.Responder, status: int, why: str = "") -> None:
@@ -232,4 +234,4 @@
     if why:
         text = why.replace("\\", "/").replace('"', "'")
         body = b'{"error":"%b"}' % text.encode("ascii", "replace")
-    responder.whole(status, _JSON, body)
+    responder.send(status, _JSON, body)
--- a/rackpost/coordinator/links.py
+++ b/rackpost/coordinator/links.py
@@ -16,7 +16,7 @@
 SECURITY = websocket.Security(key=b"rackpost-site-link")
 # A silent peer is detected within 1.5 s; with redials every 0.15 s a link is
 # up again within a second after a partition heals.
-TIMEOUTS = websocket.Patience(
+TIMEOUTS = websocket.Timeouts(
     ping_s=0.7, ping_timeout_s=0.8, open_s=1.0, close_s=0.2
 )
 _REDIAL_PAUSE_S = 0.15
@@ -70,7 +70,7 @@
                     f"{host}:{self._port}",
                     security=SECURITY,
                     kinds=self._kinds,
-                    patience=msgspec.structs.replace(TIMEOUTS, open_s=open_s),
+                    timeouts=msgspec.structs.replace(TIMEOUTS, open_s=open_s),
                 ) as conn:
                     open_s = _FIRST_DIAL_TIMEOUT_S
                     await self._run_link(host, conn)
@@ -93,7 +93,9 @@
             await conn.ended()
         finally:
             self.linked_hosts.discard(host)
-            logs.say(self._part, "Link is lost.", peer=host, why=conn.why)
+            logs.say(
+                self._part, "Link is lost.", peer=host, why=conn.end_reason
+            )
 
     def close(self) -> None:
         """Close all links."""
--- a/rackpost/coordinator/process.py
+++ b/rackpost/coordinator/process.py
@@ -318,7 +318,7 @@
                     kinds=messages.FromAny,
                     accept=self._accept,
                     refused=_refused,
-                    patience=links.TIMEOUTS,
+                    timeouts=links.TIMEOUTS,
                 )
             )
             await stack.enter_async_context(
--- a/rackpost/coordinator/role_orders.py
+++ b/rackpost/coordinator/role_orders.py
@@ -73,7 +73,7 @@
         """
         try:
             report = await self._fetch_report(endpoint)
-        except exceptions.Barred:
+        except exceptions.EndpointIneligible:
             return OrderOutcome.INELIGIBLE
         except (exceptions.ExchangeError, exceptions.CodecError) as exc:
             logs.say(
@@ -167,7 +167,7 @@
         try:
             async with asyncio.timeout(_REQUEST_TIMEOUT_S):
                 async with self._pool.connection(
-                    endpoint.address, most=_MAX_CONNECTIONS, fresh=True
+                    endpoint.address, limit=_MAX_CONNECTIONS, fresh=True
                 ) as conn:
                     endpoint_notices.check_eligible(
                         self._eligible, endpoint, self._loop.time()
--- a/rackpost/decide/endpoint_view.py
+++ b/rackpost/decide/endpoint_view.py
@@ -57,10 +57,10 @@
 
         Interpolates between the slacks for which the agent reports it.
         """
-        longest_s = self.load.room_s
+        longest_s = self.load.longest_job_s
         if not longest_s:
             return slack_s - self.backlog_s(now)
-        slacks = messages.ROOM_SLACKS_S
+        slacks = messages.SLACKS_S
         at = bisect.bisect_right(slacks, slack_s) - 1
         if at < 0:
             estimate = longest_s[0] * slack_s / slacks[0]
--- a/rackpost/decide/reservations.py
+++ b/rackpost/decide/reservations.py
@@ -180,8 +180,8 @@
             key=key,
             cost_s=cost,
             within_s=msg.within_s,
-            urgent=msg.urgent,
-            denser=msg.denser,
+            urgent=msg.urgent_higher_density,
+            denser=msg.higher_density,
             now=now,
             chunks=chunks,
         )
@@ -218,8 +218,8 @@
             memory=msg.prompt_tokens + msg.max_tokens,
             within_s=msg.within_s - transfer,
             step_s=self._step_s,
-            urgent_rate=msg.urgent,
-            denser_rate=msg.denser,
+            urgent_rate=msg.urgent_higher_density,
+            denser_rate=msg.higher_density,
             now=now,
         )
         if isinstance(slot_wait, types.Refusal):
@@ -347,13 +347,11 @@
             prefill_tokens_s=spec.prefill_tokens_s / self._slowness,
             prefill_base_s=spec.prefill_base_s * self._slowness,
             link_bytes_s=spec.link_bytes_s,
-            room_s=self._longest_jobs_s(now),
+            longest_job_s=self._longest_jobs_s(now),
         )
 
     def _longest_jobs_s(self, now: float) -> tuple[float, ...]:
         longest_job_s = self._link.longest_job_s
         if self.role is types.Role.PREFILL:
             longest_job_s = self._prefills.longest_job_s
-        return tuple(
-            longest_job_s(slack, now) for slack in messages.ROOM_SLACKS_S
-        )
+        return tuple(longest_job_s(slack, now) for slack in messages.SLACKS_S)
--- a/rackpost/endpoint_notices.py
+++ b/rackpost/endpoint_notices.py
@@ -23,7 +23,7 @@
     """Raise Barred if nothing may be sent to an endpoint now."""
     bar = eligible.ineligible_reason(endpoint, now)
     if bar is not None:
-        raise exceptions.Barred(bar.value)
+        raise exceptions.EndpointIneligible(bar.value)
 
 
 def record_answer(
--- a/rackpost/entry/attempt.py
+++ b/rackpost/entry/attempt.py
@@ -218,12 +218,12 @@
                 max_tokens=ask.max_tokens,
                 kv_bytes=ask.kv_bytes if role is types.Role.DECODE else 0,
                 blocks=ask.blocks if role is types.Role.PREFILL else (),
-                urgent=(
+                urgent_higher_density=(
                     ask.higher_density.urgent_load
                     if role is types.Role.PREFILL
                     else ask.higher_density.urgent_rate
                 ),
-                denser=(
+                higher_density=(
                     ask.higher_density.other_load
                     if role is types.Role.PREFILL
                     else ask.higher_density.other_rate
--- a/rackpost/entry/claiming.py
+++ b/rackpost/entry/claiming.py
@@ -46,7 +46,7 @@
         self._loop = asyncio.get_running_loop()
         self._fetching: dict[
             tuple[types.RequestId, types.Attempt],
-            asyncio.Future[messages.Held],
+            asyncio.Future[messages.StoredAnswer],
         ] = {}
         self._sealing: dict[
             tuple[types.RequestId, types.Attempt],
@@ -81,7 +81,7 @@
         if peer is None or peer.incarnation != holder.incarnation:
             return []
         key = (holder.req, holder.attempt)
-        fut: asyncio.Future[messages.Held] = self._loop.create_future()
+        fut: asyncio.Future[messages.StoredAnswer] = self._loop.create_future()
         self._fetching[key] = fut
         peer.conn.send(messages.Fetch(req=key[0], attempt=key[1]))
         try:
@@ -92,7 +92,7 @@
         finally:
             self._fetching.pop(key, None)
 
-    def on_held(self, msg: messages.Held) -> None:
+    def on_held(self, msg: messages.StoredAnswer) -> None:
         """An agent answers a fetch."""
         fut = self._fetching.get((msg.req, msg.attempt))
         if fut is not None and not fut.done():
@@ -179,7 +179,7 @@
         await self._claims.settle(key=req.claim, holder=holder, state=state)
 
 
-def _events_of(held: messages.Held) -> list[request.Event]:
+def _events_of(held: messages.StoredAnswer) -> list[request.Event]:
     if not held.found:
         return []
     end = request.End(outcome=types.Outcome.ANSWERED, tokens=len(held.pieces))
--- a/rackpost/entry/core.py
+++ b/rackpost/entry/core.py
@@ -155,7 +155,7 @@
         elif isinstance(msg, messages.Sealed):
             if self._claiming is not None:
                 self._claiming.on_sealed(msg)
-        elif isinstance(msg, messages.Held):
+        elif isinstance(msg, messages.StoredAnswer):
             if self._claiming is not None:
                 self._claiming.on_held(msg)
         elif not isinstance(msg, messages.Summary):
--- a/rackpost/exceptions.py
+++ b/rackpost/exceptions.py
@@ -77,14 +77,14 @@
         self.sent = sent
 
 
-class Barred(ExchangeError):
+class EndpointIneligible(ExchangeError):
     """Nothing may be sent to the endpoint now; the text says why."""
 
     def __init__(self, why: str) -> None:
         super().__init__(why, sent=False)
 
 
-class NoPlace(ExchangeError):
+class ConnectionLimitReached(ExchangeError):
     """All connections that may be open to an endpoint were in use."""
 
     def __init__(self) -> None:
--- a/rackpost/gateway/answer_relay.py
+++ b/rackpost/gateway/answer_relay.py
@@ -14,9 +14,9 @@
         length = message.find(head.headers, b"content-length")
         if length is not None:
             lines.append((b"content-length", length))
-        call.responder.bare(head.status, lines)
+        call.responder.send_head(head.status, lines)
     else:
-        call.responder.whole(head.status, lines, body)
+        call.responder.send(head.status, lines, body)
 
 
 async def relay(
@@ -36,7 +36,7 @@
             if _is_new(call, event):
                 fresh.append(event.data)
             _note_event(call, event)
-        await responder.part(b"".join(fresh))
+        await responder.send_chunk(b"".join(fresh))
     if splitter.rest:
         raise exceptions.ExchangeError("ended within an event")
     responder.finish()
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -150,7 +150,7 @@
     exc: exceptions.ExchangeError,
 ) -> retry_decision.AttemptEnd:
     """An endpoint takes no connection; the request was not sent."""
-    if isinstance(exc, exceptions.Barred):
+    if isinstance(exc, exceptions.EndpointIneligible):
         return _barred(call, endpoint, exc)
     call.tried.append(endpoint.id)
     return _broke(call, endpoint, exc, began=None)
@@ -159,7 +159,7 @@
 def _barred(
     call: call_mod.Call,
     endpoint: endpoints.Endpoint,
-    exc: exceptions.Barred,
+    exc: exceptions.EndpointIneligible,
 ) -> retry_decision.AttemptEnd:
     """Nothing may be sent there any more since it was chosen.
 
@@ -188,7 +188,7 @@
     try:
         reply = await send(call, endpoint, conn, extra, grant)
         ended = await _take(call, endpoint, reply, began)
-    except exceptions.Barred as exc:
+    except exceptions.EndpointIneligible as exc:
         call.tried.remove(endpoint.id)
         ended = _barred(call, endpoint, exc)
     except exceptions.ExchangeError as exc:
@@ -238,7 +238,7 @@
     """Note that an attempt broke, sent at `began`; None if it was not."""
     site = call.site
     now = site.loop_time()
-    if not isinstance(exc, exceptions.NoPlace):
+    if not isinstance(exc, exceptions.ConnectionLimitReached):
         site.health.record_failure(endpoint.id, now)
     call.log(
         "Attempt broke.",
--- a/rackpost/gateway/call.py
+++ b/rackpost/gateway/call.py
@@ -249,7 +249,7 @@
         if self.responder.started:
             self.responder.abort()
         else:
-            self.responder.whole(status, [], b"")
+            self.responder.send(status, [], b"")
 
     def _count(self, reason: Reason) -> None:
         self.site.metrics.count("own_answers", reason, self.route.name)
@@ -304,7 +304,7 @@
 
 def ask_for_key(responder: server.Responder) -> None:
     """Answer that a request shows no key that is anybody's."""
-    responder.whole(401, [headers.AUTH_CHALLENGE], b"")
+    responder.send(401, [headers.AUTH_CHALLENGE], b"")
 
 
 def refuse(
@@ -312,4 +312,4 @@
 ) -> None:
     """Answer that a request has not run, and when to come back."""
     after = b"%.2f" % come_back_s
-    responder.whole(status, [(b"retry-after", after)], b"")
+    responder.send(status, [(b"retry-after", after)], b"")
--- a/rackpost/gateway/endpoint_calls.py
+++ b/rackpost/gateway/endpoint_calls.py
@@ -30,7 +30,7 @@
     """
     check(site, endpoint)
     most = site.connections_to(service)
-    async with site.pool.connection(endpoint.address, most=most) as conn:
+    async with site.pool.connection(endpoint.address, limit=most) as conn:
         # Others were answered while this one waited for a connection.
         check(site, endpoint)
         yield conn
--- a/rackpost/gateway/handler.py
+++ b/rackpost/gateway/handler.py
@@ -42,7 +42,7 @@
     def __init__(self, *, site: site_mod.Site) -> None:
         self._site = site
         self._waiting = 0
-        self._no_keys = logs.Storm(pause_s=_NO_KEY_S)
+        self._no_keys = logs.LineRateLimiter(pause_s=_NO_KEY_S)
 
     async def handle(
         self, req: message.Request, responder: server.Responder
@@ -58,7 +58,7 @@
         route = routes.find(host.decode("latin-1"), req.path.decode("latin-1"))
         if route is None:
             self._own(call_mod.Reason.NO_ROUTE, req)
-            responder.whole(404, [], b"")
+            responder.send(404, [], b"")
             return
         caller = callers.Caller(routes=routes, req=req)
         if not caller.may_use(route):
@@ -91,7 +91,7 @@
         """Count each; who tries keys does not fill the log."""
         reason = call_mod.Reason.NO_KEY
         self._site.metrics.count("own_answers", reason, route.name)
-        more = self._no_keys.passes(self._site.loop_time())
+        more = self._no_keys.allow(self._site.loop_time())
         if more is not None:
             self._say_own(reason, req, route=route.name, more=more)
 
--- a/rackpost/gateway/prefill.py
+++ b/rackpost/gateway/prefill.py
@@ -230,7 +230,9 @@
     patience: float,
     began: float,
 ) -> _Ended:
-    if not isinstance(exc, (exceptions.NoPlace, exceptions.Barred)):
+    if not isinstance(
+        exc, (exceptions.ConnectionLimitReached, exceptions.EndpointIneligible)
+    ):
         call.site.health.record_failure(endpoint.id, call.site.loop_time())
     call.log(
         "Prefill failed.",
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -99,7 +99,7 @@
         # Answers to those of an earlier life of this gateway are for nobody.
         self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
         self._asked: dict[int, asyncio.Future[messages.GrantAnswer]] = {}
-        self._pauses = logs.Pauses(pause_s=_LINE_S)
+        self._pauses = logs.SubjectRateLimiter(pause_s=_LINE_S)
         # Set by who holds the socket.
         self.send: Send = _nowhere
 
@@ -139,7 +139,9 @@
         if not self.requires_grant(endpoint):
             return
         if grant is None or not grant.is_for(endpoint, self._loop.time()):
-            raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
+            raise exceptions.EndpointIneligible(
+                eligibility.IneligibleReason.RATE.value
+            )
         grant.is_spent = True
 
     @contextlib.asynccontextmanager
@@ -178,7 +180,9 @@
             return Grant(endpoint=endpoint, owner=owner, at=now)
         self._count(_Asked.USED_UP, endpoint)
         self._say(endpoint, owner, "Rate is used up.", verdict.wait_s)
-        raise exceptions.Barred(eligibility.IneligibleReason.RATE.value)
+        raise exceptions.EndpointIneligible(
+            eligibility.IneligibleReason.RATE.value
+        )
 
     def _count(self, what: _Asked, endpoint: endpoints.Endpoint) -> None:
         self._metrics.count("rate_grants", what, endpoint.service)
@@ -220,7 +224,7 @@
             self._eligible.gate.record_no_answer(endpoint, self._loop.time())
             self._count(_Asked.UNANSWERED, endpoint)
             self._say(endpoint, owner, "Owner of a rate does not answer.")
-            raise exceptions.Barred(
+            raise exceptions.EndpointIneligible(
                 eligibility.IneligibleReason.RATE.value
             ) from exc
         finally:
--- a/rackpost/http1/pages.py
+++ b/rackpost/http1/pages.py
@@ -27,10 +27,10 @@
     ) -> None:
         page = pages.get(req.path)
         if page is None:
-            responder.whole(404, _TEXT, b"")
+            responder.send(404, _TEXT, b"")
             return
         status, text = page()
-        responder.whole(status, _TEXT, text.encode())
+        responder.send(status, _TEXT, text.encode())
 
     listening = server.Server(handler=handle, failed=failed)
     async with listening.serving(host, port):
--- a/rackpost/http1/pool.py
+++ b/rackpost/http1/pool.py
@@ -20,7 +20,7 @@
 
 
 class Pool:
-    """Connections by address; at most `most` open to one address."""
+    """Connections by address; at most `limit` open to one address."""
 
     def __init__(self, *, id_header: bytes) -> None:
         self._loop = asyncio.get_running_loop()
@@ -32,14 +32,14 @@
 
     @contextlib.asynccontextmanager
     async def connection(
-        self, address: str, *, most: int, fresh: bool = False
+        self, address: str, *, limit: int, fresh: bool = False
     ) -> AsyncIterator[client.ClientConnection]:
         """A connection for one exchange, which is kept if that went well.
 
         With `fresh`, none that was used before.  Raises ExchangeError,
         with `sent` false, where none can be had.
         """
-        await self._enter(address, most)
+        await self._enter(address, limit)
         try:
             conn = None if fresh else self._take_idle(address)
             if conn is None:
@@ -67,7 +67,7 @@
                 # It was left to this one just when it gave up.
                 self._leave(address)
             if isinstance(exc, TimeoutError):
-                raise exceptions.NoPlace from exc
+                raise exceptions.ConnectionLimitReached from exc
             raise
 
     def _leave(self, address: str) -> None:
--- a/rackpost/http1/server.py
+++ b/rackpost/http1/server.py
@@ -41,7 +41,7 @@
         self.started = False
         self.ended = False
 
-    def whole(
+    def send(
         self, status: int, headers: list[message.Header], body: bytes
     ) -> None:
         """Send a whole answer."""
@@ -52,7 +52,7 @@
             rest.append((b"content-length", b"%d" % len(body)))
         self._conn.write(self._head(status, rest) + body)
 
-    def bare(self, status: int, headers: list[message.Header]) -> None:
+    def send_head(self, status: int, headers: list[message.Header]) -> None:
         """Send a head alone, as for HEAD; its headers are left as given."""
         self.started = True
         self.ended = True
@@ -69,7 +69,7 @@
             self._conn.closing = True
         self._conn.write(self._head(status, rest))
 
-    async def part(self, data: bytes) -> None:
+    async def send_chunk(self, data: bytes) -> None:
         """Send a part; returns when the client has read enough of it."""
         if not data:
             return
@@ -274,7 +274,7 @@
             # A fault in here must not leave the client without an answer.
             self._server.failed(req, exc)
         if not responder.started:
-            responder.whole(502, [], b"")
+            responder.send(502, [], b"")
         elif not responder.ended:
             responder.abort()
         if self.closing and self._transport is not None:
@@ -293,7 +293,7 @@
         if self._task is not None:
             # The answer to an earlier request is still due.
             return
-        Responder(conn=self, old=False).whole(status, [], b"")
+        Responder(conn=self, old=False).send(status, [], b"")
         if self._transport is not None and self._transport.can_write_eof():
             self._transport.write_eof()
         self._loop.call_later(_LINGER_S, self.abort)
--- a/rackpost/link/messages.py
+++ b/rackpost/link/messages.py
@@ -13,7 +13,7 @@
 from rackpost import types
 
 # The slacks, in seconds, for which an agent tells its room.
-ROOM_SLACKS_S = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0)
+SLACKS_S = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0)
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
@@ -31,7 +31,7 @@
         used: slots taken or promised.
         free_in_s: after how long the next slot can be promised.
         backlog_s: promised prefill work ahead of a new request.
-        room_s: for each slack in `ROOM_SLACKS_S`, the longest prefill
+        longest_job_s: for each slack in `SLACKS_S`, the longest prefill
             (or, of a decode endpoint, transfer) that could still be
             promised to end within it.
         link_backlog_s: promised transfers ahead of a new one.
@@ -54,7 +54,7 @@
     prefill_tokens_s: float = 8000.0
     prefill_base_s: float = 0.01
     link_bytes_s: float = 1e9
-    room_s: tuple[float, ...] = ()
+    longest_job_s: tuple[float, ...] = ()
 
 
 class Hello(Message, frozen=True, tag="hello"):
@@ -75,10 +75,11 @@
             done within this time, else it is of no use; a call must be
             able to start.
         ready_in_s: for decode, when the prefill is expected to be done.
-        urgent: what is expected of requests that count for more and are
-            more urgent: of a prefill endpoint the share of its time, of a
-            decode endpoint the requests a second.
-        denser: the same of those that count for more, but are not.
+        urgent_higher_density: load expected from requests of higher density
+            that are also more urgent: of a prefill endpoint the share of
+            its time, of a decode endpoint the requests per second.
+        higher_density: the same for requests of higher density that are
+            less urgent.
         kv_bytes: size of the KV cache that will be transferred.
     """
 
@@ -94,8 +95,8 @@
     max_tokens: int = 0
     kv_bytes: int = 0
     blocks: tuple[types.BlockHash, ...] = ()
-    urgent: float = 0.0
-    denser: float = 0.0
+    urgent_higher_density: float = 0.0
+    higher_density: float = 0.0
     priority: int = 0
     claim: types.ClaimKey | None = None
 
@@ -254,7 +255,7 @@
     whole: bool
 
 
-class Held(Message, frozen=True, tag="held"):
+class StoredAnswer(Message, frozen=True, tag="held"):
     """Answer to `Fetch`: a whole answer, if it is still held."""
 
     req: types.RequestId
@@ -294,7 +295,7 @@
     Head,
     Body,
     Sealed,
-    Held,
+    StoredAnswer,
     Summary,
 ]
 Answer = Union[
--- a/rackpost/link/websocket.py
+++ b/rackpost/link/websocket.py
@@ -42,7 +42,7 @@
     server_tls: ssl.SSLContext | None = None
 
 
-class Patience(msgspec.Struct, frozen=True, kw_only=True):
+class Timeouts(msgspec.Struct, frozen=True, kw_only=True):
     """How long a link waits for a silent peer, in seconds.
 
     It is given up `ping_s` + `ping_timeout_s` after it fell silent.  The
@@ -56,7 +56,7 @@
     close_s: float = 10.0
 
 
-_USUAL = Patience()
+_USUAL = Timeouts()
 
 
 class WebSocketChannel(channel.Channel):
@@ -72,9 +72,9 @@
         self.bad_frames = 0
         self.left_out = 0
         self._loop = asyncio.get_running_loop()
-        self._faults = logs.Pauses(pause_s=_FAULT_S)
+        self._faults = logs.SubjectRateLimiter(pause_s=_FAULT_S)
         # Why the link has ended, for the log.
-        self.why = "closed here"
+        self.end_reason = "closed here"
         self._ended = asyncio.Event()
 
     def send(self, msg: msgspec.Struct) -> None:
@@ -84,7 +84,7 @@
         data = codec.encode(msg)
         self._size += len(data)
         if self._size > MAX_WAITING:
-            self.why = f"{self._size} bytes wait for the peer"
+            self.end_reason = f"{self._size} bytes wait for the peer"
             self.close()
             return
         self._waiting.put_nowait(data)
@@ -121,10 +121,10 @@
         except exceptions.CodecError as exc:
             # A peer that does not speak the protocol is not listened to.
             self.bad_frames += 1
-            self.why = str(exc)
+            self.end_reason = str(exc)
         except websockets.exceptions.ConnectionClosed as exc:
             if self._open:
-                self.why = str(exc)
+                self.end_reason = str(exc)
 
     def _take(self, msg: msgspec.Struct) -> None:
         """Hand a message on; one that can't be taken is left out.
@@ -187,7 +187,7 @@
     *,
     security: Security,
     kinds: Any,
-    patience: Patience = _USUAL,
+    timeouts: Timeouts = _USUAL,
 ) -> AsyncIterator[WebSocketChannel]:
     """A link to `host:port`; its messages are of the types `kinds`.
 
@@ -202,10 +202,10 @@
             ssl=security.client_tls,
             max_size=codec.MAX_FRAME,
             compression=None,
-            ping_interval=patience.ping_s,
-            ping_timeout=patience.ping_timeout_s,
-            open_timeout=patience.open_s,
-            close_timeout=patience.close_s,
+            ping_interval=timeouts.ping_s,
+            ping_timeout=timeouts.ping_timeout_s,
+            open_timeout=timeouts.open_s,
+            close_timeout=timeouts.close_s,
             proxy=None,
         )
     except (
@@ -240,7 +240,7 @@
     accept: Callable[[WebSocketChannel], Awaitable[None]],
     refused: Callable[[str], None],
     pages: dict[str, Page] | None = None,
-    patience: Patience = _USUAL,
+    timeouts: Timeouts = _USUAL,
 ) -> AsyncIterator[int]:
     """Serve links; yields the port.
 
@@ -276,9 +276,9 @@
         ssl=security.server_tls,
         max_size=codec.MAX_FRAME,
         compression=None,
-        ping_interval=patience.ping_s,
-        ping_timeout=patience.ping_timeout_s,
-        close_timeout=patience.close_s,
+        ping_interval=timeouts.ping_s,
+        ping_timeout=timeouts.ping_timeout_s,
+        close_timeout=timeouts.close_s,
         process_request=page,
     ) as server:
         yield next(iter(server.sockets)).getsockname()[1]
--- a/rackpost/logs.py
+++ b/rackpost/logs.py
@@ -87,7 +87,7 @@
             self._rest = self._rest[done:]
 
 
-class Pauses:
+class SubjectRateLimiter:
     """Lets a line on the same subject pass once in a while.
 
     Whatever a peer sends again and again would else fill the log; at most
@@ -112,7 +112,7 @@
         return True
 
 
-class Storm:
+class LineRateLimiter:
     """Lets a line pass once in a while, and counts those that did not.
 
     For lines that any client can bring about as often as it likes.
@@ -124,7 +124,7 @@
         self._until = -pause_s
         self._more = 0
 
-    def passes(self, now: float) -> int | None:
+    def allow(self, now: float) -> int | None:
         """How many lines were left out before this; None to leave it out."""
         if now < self._until:
             self._more += 1
--- a/rackpost/operator_client.py
+++ b/rackpost/operator_client.py
@@ -13,7 +13,7 @@
 _TRIES = 5
 
 
-class Control:
+class ControlClient:
     """The operators' interface, at whichever replica answers."""
 
     def __init__(self, *, addresses: str, key_file: str) -> None:
--- a/rackpost/site_program.py
+++ b/rackpost/site_program.py
@@ -68,7 +68,7 @@
     return (found.st_mtime, found.st_size)
 
 
-def checked(read: Callable[[], T]) -> T:
+def read_or_exit(read: Callable[[], T]) -> T:
     """Settings that were read; a bad one ends with one clear line."""
     try:
         return read()
@@ -82,7 +82,7 @@
     main: Callable[[settings.HostSettings, Signals], Awaitable[None]],
 ) -> None:
     """Run a program to its end; a bad setting gives one clear line."""
-    host = checked(settings.load)
+    host = read_or_exit(settings.load)
     output = logs.to_stdout(program=part.value, vm=host.vm)
 
     async def start() -> None:
--- a/rackpost/testing/rate_world.py
+++ b/rackpost/testing/rate_world.py
@@ -248,7 +248,7 @@
                 ENDPOINT, priority=2, waits=self._world.spec.waits
             ) as grant:
                 self._grants.spend(ENDPOINT, grant)
-        except exceptions.Barred:
+        except exceptions.EndpointIneligible:
             return False
         return True
 
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -181,11 +181,11 @@
     ) -> None:
         if message.find(req.headers, b"x-serving-stage") == b"prefill":
             body = b'{"kvHandle":"h1","tokens":10,"version":1}'
-            responder.whole(200, self._headers(req), body)
+            responder.send(200, self._headers(req), body)
         elif self.stage == "decode":
             await self.stream(req, responder, 1, 4)
         else:
-            responder.whole(200, self._headers(req), b"from " + req.body)
+            responder.send(200, self._headers(req), b"from " + req.body)
 
     async def stream(
         self,
@@ -197,7 +197,9 @@
         kind = [(b"content-type", b"text/event-stream")]
         responder.start(200, self._headers(req) + kind)
         for number in range(first, after):
-            await responder.part(b"id: %d\ndata: x%d\n\n" % (number, number))
+            await responder.send_chunk(
+                b"id: %d\ndata: x%d\n\n" % (number, number)
+            )
         responder.finish()
 
     async def _handle(
@@ -206,7 +208,7 @@
         self.requests.append(req)
         expected = message.find(req.headers, b"x-expect-instance")
         if expected not in (None, self.ident.encode()):
-            responder.whole(421, [], b"")
+            responder.send(421, [], b"")
             return
         await self.answer(req, responder)
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -31,7 +31,7 @@
 async def asks(req: message.Request, responder: server.Responder) -> None:
     """Turn a request away and ask for a time without any."""
     told = [(b"x-not-executed", b"1"), (b"retry-after", ASKED)]
-    responder.whole(503, told, b"")
+    responder.send(503, told, b"")
 
 
 async def ask(
@@ -284,7 +284,7 @@
                 ) -> None:
                     one.answer = one.default_answer
                     told = [(b"x-not-executed", b"1"), (b"retry-after", b"1")]
-                    responder.whole(503, told, b"")
+                    responder.send(503, told, b"")
 
                 return answer
 
--- a/tests/test_backoff_soak.py
+++ b/tests/test_backoff_soak.py
@@ -133,7 +133,7 @@
         if self.endpoint.extra_headers and life == self.endpoint.ident:
             self._told(life, gateway, 1e9)
         if self._rng.random() < self._fails:
-            responder.whole(500, self.endpoint.extra_headers, b"")
+            responder.send(500, self.endpoint.extra_headers, b"")
             return
         await self.endpoint.default_answer(req, responder)
 
@@ -146,7 +146,7 @@
             (b"x-not-executed", b"1"),
             (b"retry-after", b"%.2f" % asked_s),
         ]
-        responder.whole(503, told + self.endpoint.extra_headers, b"")
+        responder.send(503, told + self.endpoint.extra_headers, b"")
         if self.endpoint.extra_headers:
             self._told(life, gateway, 1e9)
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -170,7 +170,7 @@
 async def _unframed(req: message.Request, responder: server.Responder) -> None:
     """A sound answer, without a length, that ends with its connection."""
     responder._conn.closing = True
-    responder.bare(200, platform_site.vouching_headers(req))
+    responder.send_head(200, platform_site.vouching_headers(req))
     responder._conn.write(b"whole, or not")
 
 
--- a/tests/test_engine_backoff.py
+++ b/tests/test_engine_backoff.py
@@ -23,7 +23,7 @@
         req: message.Request, responder: server.Responder
     ) -> None:
         paths.append(req.path)
-        responder.whole(503, [(b"retry-after", b"30")], b"")
+        responder.send(503, [(b"retry-after", b"30")], b"")
 
     async def main() -> None:
         listening = server.Server(handler=reject, failed=lambda req, exc: None)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -42,7 +42,7 @@
 
 async def shed(req: message.Request, responder: server.Responder) -> None:
     """The endpoint says that it has not run the request."""
-    responder.whole(503, [(b"x-not-executed", b"1")], b"")
+    responder.send(503, [(b"x-not-executed", b"1")], b"")
 
 
 def usual_after(
@@ -111,7 +111,7 @@
             b"x-response-seal: s\r\ncontent-length: 5\r\n\r\nwrong"
         )
         responder._conn.write(late)
-        responder.whole(200, platform_site.vouching_headers(req), b"right")
+        responder.send(200, platform_site.vouching_headers(req), b"right")
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -160,7 +160,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def vague(req: message.Request, responder: server.Responder) -> None:
-        responder.whole(503, [(b"x-response-seal", b"s")], b"")
+        responder.send(503, [(b"x-response-seal", b"s")], b"")
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
@@ -183,11 +183,11 @@
         req: message.Request, responder: server.Responder
     ) -> None:
         ident = message.find(req.headers, b"x-request-id") or b""
-        responder.whole(200, [(b"x-request-id", ident)], b"forged")
+        responder.send(200, [(b"x-request-id", ident)], b"forged")
 
     async def short(req: message.Request, responder: server.Responder) -> None:
         length = [(b"content-length", b"100")]
-        responder.bare(200, platform_site.vouching_headers(req) + length)
+        responder.send_head(200, platform_site.vouching_headers(req) + length)
         responder._conn.write(b"only a part")
         responder.abort()
 
@@ -208,7 +208,7 @@
         req: message.Request, responder: server.Responder
     ) -> None:
         responder._conn.closing = True
-        responder.bare(200, platform_site.vouching_headers(req))
+        responder.send_head(200, platform_site.vouching_headers(req))
         responder._conn.write(b"all of it")
 
     async def main() -> None:
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -173,8 +173,8 @@
 
 
 def test_a_storm_of_bad_keys_is_logged_once_a_second_and_counted() -> None:
-    storm = logs.Storm(pause_s=1.0)
-    passed = [storm.passes(0.001 * at) for at in range(3000)]
+    storm = logs.LineRateLimiter(pause_s=1.0)
+    passed = [storm.allow(0.001 * at) for at in range(3000)]
     told = [more for more in passed if more is not None]
     assert len(told) == 3
     assert told[0] == 0
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -24,7 +24,7 @@
         broken.append(one.ident)
         kind = [(b"content-type", b"text/event-stream")]
         responder.start(200, platform_site.vouching_headers(req) + kind)
-        await responder.part(b"id: 1\ndata: x1\n\nid: 2\nda")
+        await responder.send_chunk(b"id: 1\ndata: x1\n\nid: 2\nda")
         await asyncio.sleep(0.05)
         responder.abort()
 
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -36,7 +36,7 @@
         pool = pool_mod.Pool(id_header=b"x-id")
         async with listening:
             address = f"127.0.0.1:{port}"
-            async with pool.connection(address, most=1) as conn:
+            async with pool.connection(address, limit=1) as conn:
                 head = await ask(conn)
             assert message.find(head.headers, b"x-late") is None
             pool.close()
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -31,7 +31,7 @@
     ) -> None:
         self.seen.append(req)
         await self.answer.wait()
-        responder.whole(200, [], b"done")
+        responder.send(200, [], b"done")
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -37,7 +37,7 @@
 
 async def exchange(found: pool_mod.Pool, seconds: float) -> float:
     """Hold a connection; when it was had."""
-    async with found.connection(_WHERE, most=2):
+    async with found.connection(_WHERE, limit=2):
         at = asyncio.get_running_loop().time()
         await asyncio.sleep(seconds)
     return at
@@ -64,7 +64,7 @@
         found = pool(monkeypatch)
         busy = [asyncio.create_task(exchange(found, 5.0)) for _ in range(2)]
         await asyncio.sleep(0.1)
-        with pytest.raises(exceptions.NoPlace) as caught:
+        with pytest.raises(exceptions.ConnectionLimitReached) as caught:
             await exchange(found, 0.1)
         assert not caught.value.sent
         await asyncio.gather(*busy)
@@ -106,7 +106,7 @@
     """Other gateways would avoid it, and it had failed nobody."""
 
     async def none_free(self: pool_mod.Pool, address: str, most: int) -> None:
-        raise exceptions.NoPlace
+        raise exceptions.ConnectionLimitReached
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
--- a/tests/test_rate_soak.py
+++ b/tests/test_rate_soak.py
@@ -119,7 +119,7 @@
             if self._named_at is None:
                 self._named_at = loop.time()
         if self._rng.random() < self._fails:
-            responder.whole(500, self.endpoint.extra_headers, b"")
+            responder.send(500, self.endpoint.extra_headers, b"")
             return
         await self.endpoint.default_answer(req, responder)
 
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -178,10 +178,10 @@
                 "sequence": len(self.orders),
                 "running": 0,
             }
-            responder.whole(200, [], json.dumps(report).encode())
+            responder.send(200, [], json.dumps(report).encode())
             return
         self.orders.append(json.loads(req.body))
-        responder.whole(202, [], b"{}")
+        responder.send(202, [], b"{}")
 
 
 DEMAND = role_balance.Demand(service=SERVICE, prefill=0.4, decode=2.0)
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -48,7 +48,7 @@
 
     async def slow(req: message.Request, responder: server.Responder) -> None:
         await go_on.wait()
-        responder.whole(200, platform_site.vouching_headers(req), b"done")
+        responder.send(200, platform_site.vouching_headers(req), b"done")
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
