--- a/rackpost/link/auth.py
+++ b/rackpost/link/auth.py
@@ -1,7 +1,7 @@
-"""Proof, at the start of a link, that both ends belong to the site.
+"""Mutual authentication of both ends of a link by the site's shared key.
 
 Each end sends a random challenge; the other answers with an HMAC of both
-under the site's key, which itself is never sent.  Pure.
+challenges.  The key itself is never sent.  No I/O.
 """
 
 import hmac
@@ -11,32 +11,36 @@
 
 from rackpost import exceptions
 
-_SIZE = 16
+_NONCE_BYTES = 16
 
 
 class Challenge(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A random value to answer."""
+    """A random nonce that the peer has to authenticate."""
 
     nonce: bytes
 
 
 class Proof(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The answer to a challenge."""
+    """The HMAC that answers a challenge."""
 
     mac: bytes
 
 
 def challenge() -> Challenge:
-    """A new challenge."""
-    return Challenge(nonce=secrets.token_bytes(_SIZE))
+    """Return a challenge with a fresh nonce."""
+    return Challenge(nonce=secrets.token_bytes(_NONCE_BYTES))
 
 
 def prove(
     key: bytes, *, side: str, mine: Challenge, theirs: Challenge
 ) -> Proof:
-    """Answer `theirs`; `side` keeps an answer from being sent back."""
-    text = side.encode() + b"|" + theirs.nonce + b"|" + mine.nonce
-    return Proof(mac=hmac.digest(key, text, "sha256"))
+    """Return the proof that answers the peer's challenge.
+
+    `side` is part of the HMAC, so that a proof can't be reflected to its
+    sender.
+    """
+    data = side.encode() + b"|" + theirs.nonce + b"|" + mine.nonce
+    return Proof(mac=hmac.digest(key, data, "sha256"))
 
 
 def check(
@@ -47,7 +51,7 @@
     mine: Challenge,
     theirs: Challenge,
 ) -> None:
-    """Raise LinkError unless the peer, on `side`, knows the key."""
-    want = prove(key, side=side, mine=theirs, theirs=mine)
-    if not hmac.compare_digest(want.mac, proof.mac):
+    """Raise LinkError unless the peer's proof, made as `side`, is valid."""
+    expected = prove(key, side=side, mine=theirs, theirs=mine)
+    if not hmac.compare_digest(expected.mac, proof.mac):
         raise exceptions.LinkError("the peer does not know the site's key")
--- a/rackpost/link/channel.py
+++ b/rackpost/link/channel.py
@@ -1,4 +1,4 @@
-"""One end of a link between two processes, whatever carries it."""
+"""Endpoint of a message link between two processes, for any transport."""
 
 import abc
 import asyncio
@@ -12,10 +12,10 @@
 
 
 class Channel(abc.ABC):
-    """One end of an ordered, typed, two-way link.
+    """One end of an ordered, bidirectional link of typed messages.
 
-    Messages arrive through the function given to `attach`; after the end,
-    `closed` is called once and nothing more arrives.
+    Received messages go to the callback given to `attach`.  When the link
+    closes, `closed` is called once and no more messages are delivered.
     """
 
     def __init__(self) -> None:
@@ -23,23 +23,23 @@
         self._closed: Closed | None = None
 
     def attach(self, *, receive: Receive, closed: Closed) -> None:
-        """Say who is given the messages, and told of the end."""
+        """Set the callbacks for received messages and for the closing."""
         self._receive = receive
         self._closed = closed
 
     @abc.abstractmethod
     def send(self, msg: msgspec.Struct) -> None:
-        """Send a message; one sent after the end is dropped."""
+        """Send a message; dropped if the link is closed."""
 
     @abc.abstractmethod
     def close(self) -> None:
-        """End the link from this side."""
+        """Close the link from this side."""
 
     def _deliver(self, msg: msgspec.Struct) -> None:
         if self._receive is not None:
             self._receive(msg)
 
-    def _end(self) -> None:
+    def _notify_closed(self) -> None:
         closed = self._closed
         self._receive = None
         self._closed = None
@@ -54,48 +54,48 @@
         super().__init__()
         self._delay_s = delay_s
         self._peer: LocalChannel | None = None
-        self._flight: collections.deque[msgspec.Struct | None] = (
+        self._in_flight: collections.deque[msgspec.Struct | None] = (
             collections.deque()
         )
         self._open = True
-        # Messages are held, not lost, while the link is cut in silence.
+        # While set, messages and the close are silently dropped.
         self.cut = False
 
     def send(self, msg: msgspec.Struct) -> None:
-        """Send a message to the other end."""
+        """Send a message; it arrives after the delay."""
         if self._open:
-            self._put(msg)
+            self._enqueue(msg)
 
     def close(self) -> None:
-        """End the link; the other end sees it after the delay."""
+        """Close the link; the other end is notified after the delay."""
         if self._open:
             self._open = False
-            self._put(None)
-            self._end()
+            self._enqueue(None)
+            self._notify_closed()
 
-    def _put(self, item: msgspec.Struct | None) -> None:
-        # Timers of equal time may fire in any order, so the timer only
-        # says that the oldest message in flight is due.
-        self._flight.append(item)
+    def _enqueue(self, item: msgspec.Struct | None) -> None:
+        # Timers with equal times may fire in any order, so each timer
+        # delivers the oldest message in flight.
+        self._in_flight.append(item)
         loop = asyncio.get_running_loop()
         loop.call_later(self._delay_s, self._arrive)
 
     def _arrive(self) -> None:
-        item = self._flight.popleft()
+        item = self._in_flight.popleft()
         peer = self._peer
         if peer is None or not peer._open or self.cut:
             return
         if item is None:
             peer._open = False
-            peer._end()
+            peer._notify_closed()
         else:
             peer._deliver(item)
 
 
 def local_pair(*, delay_s: float) -> tuple[LocalChannel, LocalChannel]:
-    """Both ends of a new link within one event loop."""
-    one = LocalChannel(delay_s=delay_s)
-    two = LocalChannel(delay_s=delay_s)
-    one._peer = two
-    two._peer = one
-    return one, two
+    """Return both ends of a new link within one event loop."""
+    first = LocalChannel(delay_s=delay_s)
+    second = LocalChannel(delay_s=delay_s)
+    first._peer = second
+    second._peer = first
+    return first, second
--- a/rackpost/link/codec.py
+++ b/rackpost/link/codec.py
@@ -1,4 +1,4 @@
-"""Messages to CBOR and back, checked against their types."""
+"""Encoding of messages as CBOR, and decoding with type validation."""
 
 from typing import Any
 
@@ -7,44 +7,43 @@
 
 from rackpost import exceptions
 
-# A frame carries at most one body of a request (see limits.MAX_BODY).
+# Leaves room for a request body of the maximum size (limits.MAX_BODY).
 MAX_FRAME = 8 << 20
 
 
-class _Last:
-    """The message that was encoded last."""
+class _LastEncoded:
+    """Cache of the most recently encoded message."""
 
     msg: msgspec.Struct | None = None
     data = b""
 
 
 def encode(msg: msgspec.Struct) -> bytes:
-    """The bytes of a message.
+    """Return the encoded message.
 
-    One that goes to many peers in a row is encoded once: of 103 gateways
-    each was sent the same list of endpoints, twice a second.  Only messages
-    that can't be changed are known again.
+    The last frozen message is cached, so that one sent to many peers in a
+    row is encoded once.
     """
-    if msg is _Last.msg:
-        return _Last.data
+    if msg is _LastEncoded.msg:
+        return _LastEncoded.data
     data = cbor2.dumps(msgspec.to_builtins(msg, builtin_types=(bytes,)))
     if msg.__struct_config__.frozen:
-        _Last.msg = msg
-        _Last.data = data
+        _LastEncoded.msg = msg
+        _LastEncoded.data = data
     return data
 
 
 class Decoder:
-    """Turns bytes into one of a union of message types."""
+    """Decodes bytes into one of a union of message types."""
 
     def __init__(self, *, kinds: Any):
         self._kinds = kinds
 
     def decode(self, data: bytes) -> Any:
-        """The message in `data`.
+        """Return the message in `data`.
 
-        Raises CodecError where the bytes are not CBOR, too many, or not
-        a message of the expected types.
+        Raises CodecError if the bytes exceed MAX_FRAME, are not CBOR, or
+        are not a message of the expected types.
         """
         if len(data) > MAX_FRAME:
             raise exceptions.CodecError("frame is too large")
--- a/rackpost/link/messages.py
+++ b/rackpost/link/messages.py
@@ -1,8 +1,8 @@
-"""The typed messages between entries and agents.
+"""Messages between entries and agents.
 
-Durations are in seconds, relative to the moment the message is sent, so
-that no two processes need to agree on the time.  Sizes are in bytes,
-lengths of prompts and answers in tokens.
+Durations are in seconds from the moment the message is sent, so that
+processes need no synchronised clocks.  Sizes are in bytes, lengths of
+prompts and answers in tokens.
 """
 
 from typing import Any
@@ -12,31 +12,32 @@
 
 from rackpost import types
 
-# The slacks, in seconds, for which an agent tells its room.
+# Slacks, in seconds, for which an agent reports its longest job.
 SLACKS_S = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0)
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The base of every message."""
+    """Base class of all messages."""
 
 
 class Load(Message, frozen=True, tag="load", gc=False):
-    """What an agent says of its endpoint's present load.
+    """The current load of an agent's endpoint.
 
     Attributes:
-        revision: settings revision the agent runs on.
-        leaving: it takes nothing new, for good.
-        avoided: its endpoint failed lately; it takes nothing for now.
+        revision: settings revision that the agent uses.
+        leaving: the agent permanently accepts no new requests.
+        avoided: the endpoint failed recently; the agent temporarily accepts
+            no requests.
         slots: decode slots of the endpoint.
-        used: slots taken or promised.
-        free_in_s: after how long the next slot can be promised.
-        backlog_s: promised prefill work ahead of a new request.
+        used: slots in use or reserved.
+        free_in_s: time until the next slot can be reserved.
+        backlog_s: reserved prefill work ahead of a new request.
         longest_job_s: for each slack in `SLACKS_S`, the longest prefill
-            (or, of a decode endpoint, transfer) that could still be
-            promised to end within it.
-        link_backlog_s: promised transfers ahead of a new one.
-        step_s: present time between tokens.
-        prefill_tokens_s: tokens prefilled in a second.
+            (for a decode endpoint, transfer) that could still be reserved
+            to end within it.
+        link_backlog_s: reserved transfers ahead of a new one.
+        step_s: current time between tokens.
+        prefill_tokens_s: tokens prefilled per second.
         prefill_base_s: fixed cost of one prefill.
         link_bytes_s: transfer rate of the endpoint's link.
     """
@@ -58,7 +59,7 @@
 
 
 class Hello(Message, frozen=True, tag="hello"):
-    """First message of a link, in each direction."""
+    """The first message on a link, in each direction."""
 
     peer: str
     incarnation: types.Incarnation
@@ -67,14 +68,13 @@
 
 
 class Reserve(Message, frozen=True, tag="reserve"):
-    """Ask an agent to promise its part of one attempt.
+    """Request that an agent reserve capacity for one attempt.
 
     Attributes:
-        part: the role in which the endpoint is asked.
-        within_s: the prefill, or the transfer to a decode slot, must be
-            done within this time, else it is of no use; a call must be
-            able to start.
-        ready_in_s: for decode, when the prefill is expected to be done.
+        part: the role in which the endpoint would serve the attempt.
+        within_s: time limit for the end of a prefill, for the end of the
+            transfer to a decode slot, or for the start of a call.
+        ready_in_s: for decode, when the prefill is expected to end.
         urgent_higher_density: load expected from requests of higher density
             that are also more urgent: of a prefill endpoint the share of
             its time, of a decode endpoint the requests per second.
@@ -102,28 +102,28 @@
 
 
 class Release(Message, frozen=True, tag="release"):
-    """Give up an attempt; running work is aborted at the endpoint."""
+    """Release an attempt; running work is aborted at the endpoint."""
 
     req: types.RequestId
     attempt: types.Attempt
 
 
 class Seal(Message, frozen=True, tag="seal"):
-    """Ask that the attempt be never handed to the endpoint from now on."""
+    """Request that the attempt never be sent to the endpoint from now on."""
 
     req: types.RequestId
     attempt: types.Attempt
 
 
 class Fetch(Message, frozen=True, tag="fetch"):
-    """Ask for the held answer of an attempt that was answered."""
+    """Request the stored answer of a completed attempt."""
 
     req: types.RequestId
     attempt: types.Attempt
 
 
 class RunPrefill(Message, frozen=True, tag="prefill"):
-    """Start a promised prefill."""
+    """Start a reserved prefill."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -131,9 +131,9 @@
 
 
 class RunDecode(Message, frozen=True, tag="decode"):
-    """Start a promised decode; `kv` comes from `PrefillDone`.
+    """Start a reserved decode; `kv` comes from `PrefillDone`.
 
-    `offset` is the number of tokens that the caller already holds.
+    `offset` is the number of tokens that the caller has already received.
     """
 
     req: types.RequestId
@@ -144,7 +144,7 @@
 
 
 class RunCall(Message, frozen=True, tag="call"):
-    """Start a promised call of a plain service."""
+    """Start a reserved call of a plain service."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -156,7 +156,7 @@
 
 
 class Credit(Message, frozen=True, tag="credit"):
-    """Tell how many bytes of the stream the caller has taken."""
+    """Report how many bytes of the stream the caller has consumed."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -164,7 +164,7 @@
 
 
 class Granted(Message, frozen=True, tag="granted"):
-    """The part is promised; it will be ready in `ready_in_s`."""
+    """The capacity is reserved, and available in `ready_in_s`."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -175,7 +175,7 @@
 
 
 class Refused(Message, frozen=True, tag="refused"):
-    """The part is not promised."""
+    """The capacity is not reserved."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -185,7 +185,7 @@
 
 
 class PrefillDone(Message, frozen=True, tag="prefilled"):
-    """The KV cache is ready for export under `kv`."""
+    """The prefill is done; `kv` identifies the KV cache for its transfer."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -195,7 +195,7 @@
 
 
 class Tokens(Message, frozen=True, tag="tokens"):
-    """Pieces of the answer; `offset` is the index of the first one."""
+    """Tokens of the answer; `offset` is the index of the first one."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -204,7 +204,7 @@
 
 
 class Done(Message, frozen=True, tag="done"):
-    """The answer is whole after `tokens` pieces."""
+    """The answer is complete and has `tokens` tokens."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -214,7 +214,7 @@
 
 
 class Failed(Message, frozen=True, tag="failed"):
-    """The attempt broke off; `ran` tells if the endpoint had it."""
+    """The attempt failed; `ran` is whether the endpoint received it."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -234,7 +234,7 @@
 
 
 class Body(Message, frozen=True, tag="body"):
-    """One part of the body of a plain service's answer."""
+    """One chunk of the body of a plain service's answer."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -243,9 +243,9 @@
 
 
 class Sealed(Message, frozen=True, tag="sealed"):
-    """Answer to `Seal`: what became of the attempt here before.
+    """Reply to `Seal`: the state of the attempt at this agent.
 
-    `whole` says that its whole answer was sent to its entry.
+    `whole` is whether the complete answer was sent to the attempt's entry.
     """
 
     req: types.RequestId
@@ -256,7 +256,7 @@
 
 
 class StoredAnswer(Message, frozen=True, tag="held"):
-    """Answer to `Fetch`: a whole answer, if it is still held."""
+    """Reply to `Fetch`: the complete answer, if it is still stored."""
 
     req: types.RequestId
     attempt: types.Attempt
@@ -268,7 +268,7 @@
 
 
 class Summary(Message, frozen=True, tag="summary"):
-    """An idle agent's load."""
+    """The load of an idle agent."""
 
     load: Load
 
--- a/rackpost/link/websocket.py
+++ b/rackpost/link/websocket.py
@@ -1,7 +1,7 @@
-"""Links between processes: typed messages, CBOR over WebSocket.
+"""Links between processes: CBOR messages over WebSocket, optionally TLS.
 
-A link may run over TLS with the site's own certificates; at the least
-both ends prove that they know the site's key before any message counts.
+Both ends authenticate with the site's key before any message is accepted;
+with TLS they also present certificates of the site.
 """
 
 import asyncio
@@ -25,17 +25,17 @@
 from rackpost.link import codec
 from rackpost import logs
 
-# A peer that takes nothing is cut off when this much waits for it.
-MAX_WAITING = 16 << 20
+# Bytes queued for a peer that does not read, before the link is closed.
+MAX_QUEUED_BYTES = 16 << 20
 _HANDSHAKE_S = 3.0
-# A kind of message that can't be taken is logged once in this, in seconds.
-_FAULT_S = 1.0
+# Shortest time between log lines on the same type of failing message.
+_FAULT_LOG_INTERVAL_S = 1.0
 
 _Conn = websockets.asyncio.connection.Connection
 
 
 class Security(msgspec.Struct, frozen=True, kw_only=True):
-    """The site's key, and TLS contexts where links run over TLS."""
+    """The site's key, and the TLS contexts if links use TLS."""
 
     key: bytes
     client_tls: ssl.SSLContext | None = None
@@ -43,11 +43,9 @@
 
 
 class Timeouts(msgspec.Struct, frozen=True, kw_only=True):
-    """How long a link waits for a silent peer, in seconds.
+    """Timeouts of a link, in seconds.
 
-    It is given up `ping_s` + `ping_timeout_s` after it fell silent.  The
-    defaults suit links whose messages notice it sooner: on idle links a
-    shorter time costs more than all else.
+    A peer that is silent for `ping_s` + `ping_timeout_s` is disconnected.
     """
 
     ping_s: float = 5.0
@@ -56,48 +54,50 @@
     close_s: float = 10.0
 
 
-_USUAL = Timeouts()
+_DEFAULT_TIMEOUTS = Timeouts()
 
 
 class WebSocketChannel(channel.Channel):
-    """One end of a link over a WebSocket that is up and proved."""
+    """One end of a link over an open, authenticated WebSocket."""
 
     def __init__(self, *, conn: _Conn, decoder: codec.Decoder) -> None:
         super().__init__()
         self._conn = conn
         self._decoder = decoder
-        self._waiting: asyncio.Queue[bytes | None] = asyncio.Queue()
-        self._size = 0
+        self._outgoing: asyncio.Queue[bytes | None] = asyncio.Queue()
+        self._queued_bytes = 0
         self._open = True
         self.bad_frames = 0
-        self.left_out = 0
+        self.dropped = 0
         self._loop = asyncio.get_running_loop()
-        self._faults = logs.SubjectRateLimiter(pause_s=_FAULT_S)
-        # Why the link has ended, for the log.
+        self._fault_log_limit = logs.SubjectRateLimiter(
+            pause_s=_FAULT_LOG_INTERVAL_S
+        )
+        # Why the link closed, for the log.
         self.end_reason = "closed here"
-        self._ended = asyncio.Event()
+        self._closed_event = asyncio.Event()
 
     def send(self, msg: msgspec.Struct) -> None:
-        """Queue a message; a peer that takes none is cut off."""
+        """Queue a message; closes the link if too much is already queued."""
         if not self._open:
             return
         data = codec.encode(msg)
-        self._size += len(data)
-        if self._size > MAX_WAITING:
-            self.end_reason = f"{self._size} bytes wait for the peer"
+        self._queued_bytes += len(data)
+        if self._queued_bytes > MAX_QUEUED_BYTES:
+            self.end_reason = f"{self._queued_bytes} bytes wait for the peer"
             self.close()
             return
-        self._waiting.put_nowait(data)
+        self._outgoing.put_nowait(data)
 
     def close(self) -> None:
-        """End the link."""
+        """Close the link."""
         if self._open:
             self._open = False
-            self._waiting.put_nowait(None)
-            self._end()
+            self._outgoing.put_nowait(None)
+            self._notify_closed()
 
     async def run(self) -> None:
-        """Move messages until the link ends."""
+        """Send and receive messages until the link closes."""
         writer = asyncio.create_task(self._write())
         try:
             await self._read()
@@ -106,60 +106,64 @@
             writer.cancel()
             await asyncio.wait([writer])
             await self._conn.close()
-            self._ended.set()
+            self._closed_event.set()
 
     async def ended(self) -> None:
-        """Wait until the link has ended."""
-        await self._ended.wait()
+        """Wait until the link has closed."""
+        await self._closed_event.wait()
 
     async def _read(self) -> None:
         try:
             async for data in self._conn:
                 if not isinstance(data, bytes):
                     raise exceptions.CodecError("a frame of text")
-                self._take(self._decoder.decode(data))
+                self._dispatch(self._decoder.decode(data))
         except exceptions.CodecError as exc:
-            # A peer that does not speak the protocol is not listened to.
+            # A protocol error closes the link.
             self.bad_frames += 1
             self.end_reason = str(exc)
         except websockets.exceptions.ConnectionClosed as exc:
             if self._open:
                 self.end_reason = str(exc)
 
-    def _take(self, msg: msgspec.Struct) -> None:
-        """Hand a message on; one that can't be taken is left out.
+    def _dispatch(self, msg: msgspec.Struct) -> None:
+        """Deliver a message; one that the receiver fails on is dropped.
 
-        The peer would send it again on the next link, and to every other
-        process: none of them would keep a link.
+        Closing the link instead would repeat the failure on each new link,
+        because the peer sends the message again.
         """
         try:
             self._deliver(msg)
         except Exception as exc:
-            self.left_out += 1
-            if self._faults.is_due(type(msg).__name__, self._loop.time()):
+            self.dropped += 1
+            if self._fault_log_limit.is_due(
+                type(msg).__name__, self._loop.time()
+            ):
                 logs.say(
                     logs.Part.LINK,
                     "Message left out.",
                     kind=type(msg).__name__,
                     why=repr(exc),
-                    left_out=self.left_out,
+                    left_out=self.dropped,
                 )
 
     async def _write(self) -> None:
         while True:
-            data = await self._waiting.get()
+            data = await self._outgoing.get()
             if data is None:
-                # The reader sees the closing and ends `run`.
+                # The reader sees the close and ends `run`.
                 await self._conn.close()
                 return
-            self._size -= len(data)
+            self._queued_bytes -= len(data)
             try:
                 await self._conn.send(data)
             except websockets.exceptions.ConnectionClosed:
                 return
 
 
-async def _prove(conn: _Conn, key: bytes, *, side: str, other: str) -> None:
+async def _authenticate(
+    conn: _Conn, key: bytes, *, side: str, other: str
+) -> None:
     mine = auth.challenge()
     try:
         async with asyncio.timeout(_HANDSHAKE_S):
@@ -170,8 +174,10 @@
             answer = await _recv(conn, auth.Proof)
             auth.check(key, answer, side=other, mine=mine, theirs=theirs)
     except (TimeoutError, websockets.exceptions.ConnectionClosed) as exc:
-        why = str(exc) or f"nothing for {_HANDSHAKE_S} s"
-        raise exceptions.LinkError(f"the peer gave no proof: {why}") from exc
+        reason = str(exc) or f"nothing for {_HANDSHAKE_S} s"
+        raise exceptions.LinkError(
+            f"the peer gave no proof: {reason}"
+        ) from exc
 
 
 async def _recv(conn: _Conn, kind: type) -> Any:
@@ -187,13 +193,14 @@
     *,
     security: Security,
     kinds: Any,
-    timeouts: Timeouts = _USUAL,
+    timeouts: Timeouts = _DEFAULT_TIMEOUTS,
 ) -> AsyncIterator[WebSocketChannel]:
-    """A link to `host:port`; its messages are of the types `kinds`.
+    """Open a link to `host:port` that receives messages of types `kinds`.
 
-    Messages move from the first moment at which the caller waits.
+    No message is delivered before the caller first awaits, so that it can
+    attach its callbacks.
 
-    Raises LinkError where the peer is not there or proves nothing.
+    Raises LinkError if the peer is unreachable or fails to authenticate.
     """
     scheme = "wss" if security.client_tls else "ws"
     try:
@@ -214,16 +221,16 @@
         websockets.exceptions.WebSocketException,
     ) as exc:
         raise exceptions.LinkError(f"{address}: {exc}") from exc
-    pump: asyncio.Task[None] | None = None
+    runner: asyncio.Task[None] | None = None
     try:
-        await _prove(conn, security.key, side="client", other="server")
+        await _authenticate(conn, security.key, side="client", other="server")
         link = WebSocketChannel(conn=conn, decoder=codec.Decoder(kinds=kinds))
-        pump = asyncio.create_task(link.run())
+        runner = asyncio.create_task(link.run())
         yield link
     finally:
-        if pump is not None:
-            pump.cancel()
-            await asyncio.wait([pump])
+        if runner is not None:
+            runner.cancel()
+            await asyncio.wait([runner])
         await conn.close()
 
 
@@ -240,18 +247,20 @@
     accept: Callable[[WebSocketChannel], Awaitable[None]],
     refused: Callable[[str], None],
     pages: dict[str, Page] | None = None,
-    timeouts: Timeouts = _USUAL,
+    timeouts: Timeouts = _DEFAULT_TIMEOUTS,
 ) -> AsyncIterator[int]:
     """Serve links; yields the port.
 
-    `accept` is run for each peer that has proved itself, until it ends;
-    `refused` is told why of each that did not.  `pages` are plain GETs,
-    such as /metrics: a status and a text each.
+    `accept` runs for each authenticated peer until its link closes;
+    `refused` is called with the reason for each other peer.  `pages` answer
+    plain GETs, such as /metrics, with a status and a text.
     """
 
     async def handle(conn: websockets.asyncio.server.ServerConnection) -> None:
         try:
-            await _prove(conn, security.key, side="server", other="client")
+            await _authenticate(
+                conn, security.key, side="server", other="client"
+            )
         except exceptions.LinkError as exc:
             refused(str(exc))
             return
