--- a/rackpost/http1/address.py
+++ b/rackpost/http1/address.py
@@ -1,16 +1,16 @@
-"""Addresses as text, `host:port`, and as sockets take them."""
+"""Parsing of `host:port` addresses."""
 
 from typing import NamedTuple
 
 
 class Address(NamedTuple):
-    """Where something listens."""
+    """Host and port of a socket."""
 
     host: str
     port: int
 
 
 def split(text: str) -> Address:
-    """The parts of `host:port`; ValueError where the port is no number."""
+    """Parse `host:port`; ValueError if the port is not a number."""
     host, _, port = text.rpartition(":")
     return Address(host=host, port=int(port))
--- a/rackpost/http1/events.py
+++ b/rackpost/http1/events.py
@@ -1,42 +1,42 @@
-"""Server-sent events, cut at their ends.  Pure.
+"""Splitting of a byte stream into server-sent events.
 
-Only whole events are passed on, so that a stream can go on at another
-endpoint after its first one broke off within an event.
+Only complete events are forwarded, so that a stream can resume at another
+endpoint after the first one failed within an event.
 """
 
 from typing import NamedTuple
 
-_END = b"\n\n"
-_ID = b"id:"
+_TERMINATOR = b"\n\n"
+_ID_FIELD = b"id:"
 
 
 class Event(NamedTuple):
-    """A whole event with the empty line that ends it."""
+    """A complete event, including the empty line that terminates it."""
 
     data: bytes
     id: int | None
 
 
 class Splitter:
-    """Cuts a stream of bytes into events."""
+    """Incremental splitter of a byte stream into events."""
 
     def __init__(self) -> None:
         self.rest = b""
 
-    def feed(self, data: bytes) -> list[Event]:
-        """The events that are whole now."""
-        self.rest += data
-        found = []
-        while (at := self.rest.find(_END)) >= 0:
-            whole = self.rest[: at + len(_END)]
-            self.rest = self.rest[at + len(_END) :]
-            found.append(Event(whole, _id_of(whole)))
-        return found
+    def feed(self, received: bytes) -> list[Event]:
+        """Add bytes; return the events completed by them."""
+        self.rest += received
+        events = []
+        while (at := self.rest.find(_TERMINATOR)) >= 0:
+            data = self.rest[: at + len(_TERMINATOR)]
+            self.rest = self.rest[at + len(_TERMINATOR) :]
+            events.append(Event(data, _event_id(data)))
+        return events
 
 
-def _id_of(event: bytes) -> int | None:
+def _event_id(event: bytes) -> int | None:
     for line in event.split(b"\n"):
-        if line.startswith(_ID):
-            value = line[len(_ID) :].strip()
+        if line.startswith(_ID_FIELD):
+            value = line[len(_ID_FIELD) :].strip()
             return int(value) if value.isdigit() else None
     return None
--- a/rackpost/http1/message.py
+++ b/rackpost/http1/message.py
@@ -1,6 +1,6 @@
-"""Parts of HTTP/1.1 messages that client and server share.
+"""HTTP/1.1 message types and headers shared by client and server.
 
-`httptools` parses; header names are kept in lower case.
+Header names are in lower case.
 """
 
 import enum
@@ -11,9 +11,9 @@
 
 Header = tuple[bytes, bytes]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), and
-# those that the sender of a message sets for its own framing.
-_CONNECTION = frozenset(
+# Hop-by-hop headers (RFC 9110, section 7.6.1), and those that each sender
+# sets for its own framing.
+_HOP_BY_HOP = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -31,7 +31,7 @@
 
 
 class Framing(enum.Enum):
-    """How the end of a body is told."""
+    """How the end of a body is marked."""
 
     LENGTH = "length"
     CHUNKED = "chunked"
@@ -40,7 +40,7 @@
 
 
 class Request(NamedTuple):
-    """A whole request, as a client sent it."""
+    """A complete request as received from a client."""
 
     method: bytes
     target: bytes
@@ -50,12 +50,12 @@
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.split(b"?", 1)[0]
 
 
 class Head(NamedTuple):
-    """Status and headers of an answer."""
+    """Status, headers and body framing of an answer."""
 
     status: int
     headers: list[Header]
@@ -63,7 +63,7 @@
 
 
 def find(headers: Iterable[Header], name: bytes) -> bytes | None:
-    """The first value of a header, by its lower-case name."""
+    """Return the first value of a header, by its lower-case name."""
     for key, value in headers:
         if key == name:
             return value
@@ -71,31 +71,31 @@
 
 
 def end_to_end(headers: Sequence[Header]) -> list[Header]:
-    """The headers that are passed on to the next hop."""
-    named = set(_CONNECTION)
+    """Return the headers that are forwarded to the next hop."""
+    hop_by_hop = set(_HOP_BY_HOP)
     for key, value in headers:
         if key == b"connection":
             for item in value.split(b","):
-                named.add(item.strip().lower())
-    return [item for item in headers if item[0] not in named]
+                hop_by_hop.add(item.strip().lower())
+    return [item for item in headers if item[0] not in hop_by_hop]
 
 
-def _lines(headers: Iterable[Header]) -> bytes:
+def _encode_headers(headers: Iterable[Header]) -> bytes:
     return b"".join(b"%b: %b\r\n" % item for item in headers)
 
 
 def request_head(
     method: bytes, target: bytes, headers: Iterable[Header]
 ) -> bytes:
-    """The first part of a request, up to its body."""
+    """Return the encoded request line and headers."""
     line = b"%b %b HTTP/1.1\r\n" % (method, target)
-    return line + _lines(headers) + b"\r\n"
+    return line + _encode_headers(headers) + b"\r\n"
 
 
 def response_head(status: int, headers: Iterable[Header]) -> bytes:
-    """The first part of an answer, up to its body."""
+    """Return the encoded status line and headers."""
     line = b"HTTP/1.1 %d %b\r\n" % (status, _reason(status))
-    return line + _lines(headers) + b"\r\n"
+    return line + _encode_headers(headers) + b"\r\n"
 
 
 def _reason(status: int) -> bytes:
--- a/rackpost/http1/pages.py
+++ b/rackpost/http1/pages.py
@@ -1,4 +1,4 @@
-"""Small pages of a process: its metrics, whether it is ready."""
+"""Plain-text status pages of a process, such as metrics and readiness."""
 
 import contextlib
 from typing import AsyncIterator
@@ -7,7 +7,7 @@
 from rackpost.http1 import message
 from rackpost.http1 import server
 
-_TEXT = [(b"content-type", b"text/plain; version=0.0.4")]
+_TEXT_HEADERS = [(b"content-type", b"text/plain; version=0.0.4")]
 
 Page = Callable[[], tuple[int, str]]
 
@@ -20,18 +20,18 @@
     port: int,
     failed: Callable[[message.Request, Exception], None],
 ) -> AsyncIterator[server.Server]:
-    """Serve pages by their paths; each gives a status and a text."""
+    """Serve pages by path; each returns a status and a text."""
 
     async def handle(
         req: message.Request, responder: server.Responder
     ) -> None:
         page = pages.get(req.path)
         if page is None:
-            responder.send(404, _TEXT, b"")
+            responder.send(404, _TEXT_HEADERS, b"")
             return
         status, text = page()
-        responder.send(status, _TEXT, text.encode())
+        responder.send(status, _TEXT_HEADERS, text.encode())
 
-    listening = server.Server(handler=handle, failed=failed)
-    async with listening.serving(host, port):
-        yield listening
+    page_server = server.Server(handler=handle, failed=failed)
+    async with page_server.serving(host, port):
+        yield page_server
--- a/rackpost/http1/pool.py
+++ b/rackpost/http1/pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, kept for reuse."""
+"""Pool of reusable client connections, by endpoint address."""
 
 import asyncio
 import collections
@@ -10,36 +10,35 @@
 from rackpost.http1 import address as address_mod
 from rackpost.http1 import client
 
-# An endpoint that takes no connection for this long is left alone; the
-# first retransmission of an opening packet comes after a second.
-_CONNECT_S = 0.6
-# Where all that may be open are in use, one is waited for so long, in
-# seconds: some three usual plain requests.  Refused at once, fourteen callers
-# of one site were told that there is no endpoint just as power came back.
-_PLACE_S = 0.25
+# Below TCP's first retransmission of a SYN, which comes after a second.
+_CONNECT_TIMEOUT_S = 0.6
+# Longest wait for a connection while all that may be open are in use;
+# covers a short burst.
+_SLOT_TIMEOUT_S = 0.25
 
 
 class Pool:
-    """Connections by address; at most `limit` open to one address."""
+    """Connections by address, with a limit of open ones per address."""
 
     def __init__(self, *, id_header: bytes) -> None:
         self._loop = asyncio.get_running_loop()
         self._id_header = id_header
         self._idle: dict[str, list[client.ClientConnection]] = {}
         self._open: dict[str, int] = {}
-        self._waiting: dict[str, collections.deque[asyncio.Future[None]]] = {}
+        self._waiters: dict[str, collections.deque[asyncio.Future[None]]] = {}
         self.opened = 0
 
     @contextlib.asynccontextmanager
     async def connection(
         self, address: str, *, limit: int, fresh: bool = False
     ) -> AsyncIterator[client.ClientConnection]:
-        """A connection for one exchange, which is kept if that went well.
+        """Yield a connection for one exchange; kept afterwards if reusable.
 
-        With `fresh`, none that was used before.  Raises ExchangeError,
-        with `sent` false, where none can be had.
+        At most `limit` connections are open to the address.  With `fresh`,
+        a new connection is opened.  Raises ExchangeError, with `sent`
+        false, if no connection is available.
         """
-        await self._enter(address, limit)
+        await self._acquire_slot(address, limit)
         try:
             conn = None if fresh else self._take_idle(address)
             if conn is None:
@@ -50,35 +49,35 @@
                 if conn.release():
                     self._idle.setdefault(address, []).append(conn)
         finally:
-            self._leave(address)
+            self._release_slot(address)
 
-    async def _enter(self, address: str, most: int) -> None:
-        """Count one more as open, or wait for one that another leaves."""
-        if self._open.get(address, 0) < most:
+    async def _acquire_slot(self, address: str, limit: int) -> None:
+        """Count one more open connection, or wait until one is released."""
+        if self._open.get(address, 0) < limit:
             self._open[address] = self._open.get(address, 0) + 1
             return
         waiter: asyncio.Future[None] = self._loop.create_future()
-        self._waiting.setdefault(address, collections.deque()).append(waiter)
+        self._waiters.setdefault(address, collections.deque()).append(waiter)
         try:
-            async with asyncio.timeout(_PLACE_S):
+            async with asyncio.timeout(_SLOT_TIMEOUT_S):
                 await waiter
         except (TimeoutError, asyncio.CancelledError) as exc:
             if not waiter.cancelled():
-                # It was left to this one just when it gave up.
-                self._leave(address)
+                # The slot was handed over just as the wait ended.
+                self._release_slot(address)
             if isinstance(exc, TimeoutError):
                 raise exceptions.ConnectionLimitReached from exc
             raise
 
-    def _leave(self, address: str) -> None:
-        """One is open no more, or goes to who has waited longest."""
-        waiting = self._waiting.get(address)
-        while waiting:
-            waiter = waiting.popleft()
+    def _release_slot(self, address: str) -> None:
+        """Hand the slot to the longest waiter, or count one open less."""
+        waiters = self._waiters.get(address)
+        while waiters:
+            waiter = waiters.popleft()
             if not waiter.done():
                 waiter.set_result(None)
                 return
-        self._waiting.pop(address, None)
+        self._waiters.pop(address, None)
         self._open[address] -= 1
 
     def _take_idle(self, address: str) -> client.ClientConnection | None:
@@ -93,12 +92,12 @@
 
     async def _connect(self, address: str) -> client.ClientConnection:
         try:
-            at = address_mod.split(address)
-            async with asyncio.timeout(_CONNECT_S):
+            target = address_mod.split(address)
+            async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 transport, conn = await self._loop.create_connection(
                     lambda: client.ClientConnection(id_header=self._id_header),
-                    at.host,
-                    at.port,
+                    target.host,
+                    target.port,
                 )
         except TimeoutError as exc:
             raise exceptions.ExchangeError(
@@ -115,7 +114,7 @@
         return conn
 
     def sweep(self) -> None:
-        """Close idle connections that are past their time."""
+        """Close idle connections that have expired."""
         now = self._loop.time()
         for address, idle in list(self._idle.items()):
             kept = []
--- a/rackpost/http1/retry_after.py
+++ b/rackpost/http1/retry_after.py
@@ -1,30 +1,30 @@
-"""The value of a Retry-After header: seconds, or a date."""
+"""Parsing of the Retry-After header, a number of seconds or a date."""
 
 from email import utils
 import math
 
 
-def seconds(told: bytes | None, date: bytes | None) -> float | None:
-    """How long to wait, in seconds, fractions included.
+def seconds(value: bytes | None, date: bytes | None) -> float | None:
+    """Return the time to wait in seconds, or None if absent or invalid.
 
-    None where nothing is asked for that can be read.  A date is read by the
-    answer's own `date`: our clocks may be wrong.
+    A date is compared with the answer's own `date` header, because the local
+    clock may be wrong.
     """
-    if told is None:
+    if value is None:
         return None
     try:
-        found = float(told)
+        wait_s = float(value)
     except ValueError:
-        found = _until_s(told, date or b"")
-    return found if 0.0 < found < math.inf else None
+        wait_s = _difference_s(value, date or b"")
+    return wait_s if 0.0 < wait_s < math.inf else None
 
 
-def _until_s(told: bytes, date: bytes) -> float:
-    """Seconds from one date to another; 0 where one of them is none."""
+def _difference_s(value: bytes, date: bytes) -> float:
+    """Return the seconds from `date` to `value`; 0 if either is invalid."""
     try:
-        at = utils.parsedate_to_datetime(told.decode("latin-1"))
+        at = utils.parsedate_to_datetime(value.decode("latin-1"))
         now = utils.parsedate_to_datetime(date.decode("latin-1"))
         return (at - now).total_seconds()
     except (ValueError, TypeError):
-        # Not a date, or one with a zone beside one without.
+        # Not a date, or only one of them has a time zone.
         return 0.0
--- a/rackpost/http1/server.py
+++ b/rackpost/http1/server.py
@@ -1,8 +1,8 @@
-"""Serving HTTP/1.1: whole requests in, answers out, one at a time.
+"""HTTP/1.1 server.
 
-A request is read whole before it is handled, so that it can be sent to an
-endpoint with a length, and again if need be.  A client that leaves ends
-the task that works for it.
+Requests are buffered before they are handled, so that they can be sent to
+an endpoint with a length, and resent.  The requests of a connection are
+handled one at a time; a disconnect cancels the running handler.
 """
 
 import asyncio
@@ -20,23 +20,23 @@
 from rackpost.routing import model
 
 _BACKLOG = 1024
-# How often connections are checked for being idle or slow, in seconds.
-_SWEEP_S = 0.25
-# Requests that a client may send ahead on one connection.
-_MAX_AHEAD = 8
-# After an answer that ends a connection early, what the client still
-# sends is read and dropped for this long, so that it sees the answer.
+# How often idle and slow connections are looked for.
+_SWEEP_INTERVAL_S = 0.25
+# Pipelined requests that may wait on one connection.
+_MAX_PIPELINED = 8
+# How long input is discarded after an early error answer; closing at once
+# could reset the connection before the client reads the answer.
 _LINGER_S = 1.0
-# Writing pauses while a client has this much unread.
-_HIGH_WATER = 64 << 10
+# Writing pauses while more than this is unsent.
+_HIGH_WATER_BYTES = 64 << 10
 
 
 class Responder:
     """The answer to one request."""
 
-    def __init__(self, *, conn: "ServerConnection", old: bool) -> None:
+    def __init__(self, *, conn: "ServerConnection", is_http10: bool) -> None:
         self._conn = conn
-        self._old = old
+        self._is_http10 = is_http10
         self._chunked = False
         self.started = False
         self.ended = False
@@ -44,7 +44,7 @@
     def send(
         self, status: int, headers: list[message.Header], body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.started = True
         self.ended = True
         rest = list(headers)
@@ -53,15 +53,15 @@
         self._conn.write(self._head(status, rest) + body)
 
     def send_head(self, status: int, headers: list[message.Header]) -> None:
-        """Send a head alone, as for HEAD; its headers are left as given."""
+        """Send a head without a body, as for HEAD; headers stay as given."""
         self.started = True
         self.ended = True
         self._conn.write(self._head(status, headers))
 
     def start(self, status: int, headers: list[message.Header]) -> None:
-        """Begin an answer that is sent in parts."""
+        """Send the head of an answer whose body follows in chunks."""
         self.started = True
-        self._chunked = not self._old
+        self._chunked = not self._is_http10
         rest = list(headers)
         if self._chunked:
             rest.append((b"transfer-encoding", b"chunked"))
@@ -70,7 +70,7 @@
         self._conn.write(self._head(status, rest))
 
     async def send_chunk(self, data: bytes) -> None:
-        """Send a part; returns when the client has read enough of it."""
+        """Send a chunk; returns when the write buffer has room."""
         if not data:
             return
         if self._chunked:
@@ -79,13 +79,13 @@
         await self._conn.drain()
 
     def finish(self) -> None:
-        """The answer is whole."""
+        """End the body."""
         self.ended = True
         if self._chunked:
             self._conn.write(b"0\r\n\r\n")
 
     def abort(self) -> None:
-        """Break the connection: the answer is not whole, and shows it."""
+        """Abort the connection, which marks the answer as incomplete."""
         self.ended = True
         self._conn.abort()
 
@@ -106,15 +106,15 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._ahead: collections.deque[tuple[message.Request, bool]] = (
+        self._pipelined: collections.deque[tuple[message.Request, bool]] = (
             collections.deque()
         )
         self._task: asyncio.Task[None] | None = None
         self._writable: asyncio.Future[None] | None = None
         self._discarding = False
         self.closing = False
-        self.rested_since = self._loop.time()
-        self._heard_at = self.rested_since
+        self.idle_since = self._loop.time()
+        self._received_at = self.idle_since
         self.head_since: float | None = None
         self._new_request()
 
@@ -132,55 +132,55 @@
         """Whether a request is being read or answered."""
         return self._task is not None or self._reading
 
-    # What the responder calls.
+    # For the responder.
 
     def write(self, data: bytes) -> None:
-        """Send bytes; those for a client that has left are dropped."""
+        """Write bytes; dropped if the client has disconnected."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     async def drain(self) -> None:
-        """Wait while the client has too much unread."""
+        """Wait until the write buffer is below its limit."""
         if self._writable is not None:
             await self._writable
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Close the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
-    # What the transport calls.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has come."""
+        """Register the new connection."""
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=_HIGH_WATER)
+        self._transport.set_write_buffer_limits(high=_HIGH_WATER_BYTES)
         self._server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The client has left: nobody waits for the answer any more."""
+        """Cancel the handler of a client that has disconnected."""
         self._server.connections.discard(self)
         self.resume_writing()
-        self._ahead.clear()
+        self._pipelined.clear()
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """The client reads slowly."""
+        """Make `drain` wait."""
         if self._writable is None:
             self._writable = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """The client has caught up."""
+        """Let `drain` return."""
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._writable = None
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived."""
+        """Parse received bytes."""
         if self._discarding:
             return
-        self._heard_at = self._loop.time()
+        self._received_at = self._loop.time()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -188,36 +188,36 @@
         except httptools.HttpParserError:
             self._refuse(400)
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Reset the state for a new request."""
         self._new_request()
         self._reading = True
         self.head_since = self._loop.time()
 
     def on_url(self, data: bytes) -> None:
-        """A part of the target."""
+        """Collect a part of the target."""
         self._target += data
         self._count_head(len(data))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header; trailers come after the body and are dropped."""
+        """Collect a header; trailers are dropped."""
         if not self._has_head:
             self._headers.append((name.lower(), value))
         self._count_head(len(name) + len(value))
 
     def on_headers_complete(self) -> None:
-        """All headers are there."""
+        """Mark the head as complete, and answer Expect: 100-continue."""
         self.head_since = None
         self._has_head = True
-        wants = message.find(self._headers, b"expect")
-        # Within an answer that is being sent it would be a part of that.
-        if self._task is None and _is_continue(wants):
+        expect = message.find(self._headers, b"expect")
+        # During another answer it would be read as part of that answer.
+        if self._task is None and _is_continue(expect):
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Collect a chunk of the body; refuses one over the limit."""
         if self._discarding:
             return
         self._body_size += len(data)
@@ -227,7 +227,7 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """Queue the complete request for its handler."""
         if self._discarding:
             return
         self._reading = False
@@ -239,11 +239,11 @@
             body=b"".join(self._body),
             has_body=_has_body(headers),
         )
-        old = self._parser.get_http_version() == "1.0"
+        is_http10 = self._parser.get_http_version() == "1.0"
         if not self._parser.should_keep_alive():
             self.closing = True
-        self._ahead.append((req, old))
-        if len(self._ahead) > _MAX_AHEAD:
+        self._pipelined.append((req, is_http10))
+        if len(self._pipelined) > _MAX_PIPELINED:
             self.abort()
         elif self._task is None:
             self._task = self._loop.create_task(self._serve())
@@ -253,32 +253,32 @@
         if self._head_size > self._server.limits.header_bytes:
             self._refuse(431)
 
-    # Answering.
+    # Handling of requests.
 
     async def _serve(self) -> None:
         try:
-            while self._ahead and not self._is_gone():
-                req, old = self._ahead.popleft()
-                await self._serve_one(req, old)
+            while self._pipelined and not self._is_gone():
+                req, is_http10 = self._pipelined.popleft()
+                await self._serve_one(req, is_http10)
         finally:
             self._task = None
-            self.rested_since = self._loop.time()
+            self.idle_since = self._loop.time()
 
-    async def _serve_one(self, req: message.Request, old: bool) -> None:
-        responder = Responder(conn=self, old=old)
+    async def _serve_one(self, req: message.Request, is_http10: bool) -> None:
+        responder = Responder(conn=self, is_http10=is_http10)
         if self._server.stopping:
             self.closing = True
         try:
             await self._server.handler(req, responder)
         except Exception as exc:
-            # A fault in here must not leave the client without an answer.
+            # The client still gets an answer: 502 below.
             self._server.failed(req, exc)
         if not responder.started:
             responder.send(502, [], b"")
         elif not responder.ended:
             responder.abort()
         if self.closing and self._transport is not None:
-            self._ahead.clear()
+            self._pipelined.clear()
             self._transport.close()
 
     def _is_gone(self) -> bool:
@@ -291,15 +291,15 @@
         self.closing = True
         self._reading = False
         if self._task is not None:
-            # The answer to an earlier request is still due.
+            # The answer to an earlier request comes first.
             return
-        Responder(conn=self, old=False).send(status, [], b"")
+        Responder(conn=self, is_http10=False).send(status, [], b"")
         if self._transport is not None and self._transport.can_write_eof():
             self._transport.write_eof()
         self._loop.call_later(_LINGER_S, self.abort)
 
     def sweep(self, now: float) -> None:
-        """Close a connection that is idle or sends its head too slowly."""
+        """Close the connection if it is idle or its request is too slow."""
         if self._discarding or self._task is not None:
             return
         limits = self._server.limits
@@ -307,10 +307,10 @@
             if now - self.head_since > limits.header_s:
                 self._refuse(408)
         elif self._reading:
-            # In mid-body; bodies may be slow, but must go on.
-            if now - self._heard_at > limits.idle_s:
+            # Slow bodies are allowed, stalled ones are not.
+            if now - self._received_at > limits.idle_s:
                 self._refuse(408)
-        elif now - self.rested_since > limits.idle_s:
+        elif now - self.idle_since > limits.idle_s:
             self.close_idle()
 
     def close_idle(self) -> None:
@@ -319,9 +319,8 @@
             self._transport.close()
 
 
-def _is_continue(wants: bytes | None) -> bool:
-    """Whether a client waits for word before it sends its body."""
-    return wants is not None and wants.lower() == b"100-continue"
+def _is_continue(expect: bytes | None) -> bool:
+    return expect is not None and expect.lower() == b"100-continue"
 
 
 def _has_body(headers: list[message.Header]) -> bool:
@@ -332,7 +331,7 @@
 
 
 class Server:
-    """One listening address and its connections."""
+    """A listening socket and its connections."""
 
     def __init__(
         self,
@@ -349,12 +348,12 @@
 
     @property
     def busy(self) -> int:
-        """Connections with a request under way."""
+        """Number of connections with a request in flight."""
         return sum(1 for conn in self.connections if conn.busy)
 
     @contextlib.asynccontextmanager
     async def serving(self, host: str, port: int) -> AsyncIterator[int]:
-        """Listen; yields the port.  OSError where it can't be had."""
+        """Listen; yields the port.  Raises OSError if it can't be bound."""
         loop = asyncio.get_running_loop()
         sock = socket.socket(
             socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
@@ -376,12 +375,12 @@
     async def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = loop.time()
             for conn in list(self.connections):
                 conn.sweep(now)
 
     def close_idle(self) -> None:
-        """Close the connections that have no request under way."""
+        """Close the connections that have no request in flight."""
         for conn in list(self.connections):
             conn.close_idle()
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints, as one connection reads them."""
+"""How a client connection reads an endpoint's answer."""
 
 import asyncio
 
@@ -12,8 +12,8 @@
 )
 
 
-def test_trailers_of_an_answer_are_no_headers() -> None:
-    """They were passed on to the client as the endpoint's headers."""
+def test_trailers_of_an_answer_are_not_headers() -> None:
+    """Trailers were forwarded to the client as headers of the endpoint."""
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -21,7 +21,7 @@
         await reader.readuntil(b"\r\n\r\n")
         writer.write(ANSWER)
 
-    async def ask(conn: client.ClientConnection) -> message.Head:
+    async def exchange(conn: client.ClientConnection) -> message.Head:
         head = await conn.request(
             head=b"GET / HTTP/1.1\r\nX-Id: r1\r\n\r\n",
             body=b"",
@@ -31,13 +31,13 @@
         return head
 
     async def main() -> None:
-        listening = await asyncio.start_server(serve, "127.0.0.1", 0)
-        port = listening.sockets[0].getsockname()[1]
+        listener = await asyncio.start_server(serve, "127.0.0.1", 0)
+        port = listener.sockets[0].getsockname()[1]
         pool = pool_mod.Pool(id_header=b"x-id")
-        async with listening:
+        async with listener:
             address = f"127.0.0.1:{port}"
             async with pool.connection(address, limit=1) as conn:
-                head = await ask(conn)
+                head = await exchange(conn)
             assert message.find(head.headers, b"x-late") is None
             pool.close()
 
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -1,4 +1,4 @@
-"""Requests that come in parts, with trailers, or not to their end."""
+"""The HTTP/1.1 server: trailers, stalled bodies, pipelined requests."""
 
 import asyncio
 import contextlib
@@ -13,11 +13,11 @@
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n"
 
 
-class Listening:
-    """A server, what it was asked, and one client of it."""
+class ServerWithClient:
+    """A server, the requests it received, and one client connection."""
 
     def __init__(self) -> None:
-        self.seen: list[message.Request] = []
+        self.requests: list[message.Request] = []
         self.answer = asyncio.Event()
         self.answer.set()
         self.server = server.Server(
@@ -29,71 +29,73 @@
     async def _handle(
         self, req: message.Request, responder: server.Responder
     ) -> None:
-        self.seen.append(req)
+        self.requests.append(req)
         await self.answer.wait()
         responder.send(200, [], b"done")
 
 
 @contextlib.asynccontextmanager
-async def listening() -> AsyncIterator[Listening]:
-    found = Listening()
-    async with found.server.serving("127.0.0.1", 0) as port:
-        opened = await asyncio.open_connection("127.0.0.1", port)
-        found.reader, found.writer = opened
+async def running_server() -> AsyncIterator[ServerWithClient]:
+    served = ServerWithClient()
+    async with served.server.serving("127.0.0.1", 0) as port:
+        streams = await asyncio.open_connection("127.0.0.1", port)
+        served.reader, served.writer = streams
         try:
-            yield found
+            yield served
         finally:
-            found.writer.close()
+            served.writer.close()
 
 
-def test_trailers_are_no_headers() -> None:
-    """What stood behind a body was passed on as if a client's header."""
+def test_trailers_are_not_headers() -> None:
+    """Trailers were forwarded as headers of the client."""
 
     async def main() -> None:
-        async with listening() as found:
-            found.writer.write(
+        async with running_server() as served:
+            served.writer.write(
                 CHUNKED + b"\r\n1\r\nx\r\n0\r\nX-Late: 1\r\n\r\n"
             )
-            assert (await found.reader.readline()).endswith(b"200 OK\r\n")
-            assert found.seen[0].body == b"x"
-            names = [key for key, _ in found.seen[0].headers]
+            assert (await served.reader.readline()).endswith(b"200 OK\r\n")
+            assert served.requests[0].body == b"x"
+            names = [key for key, _ in served.requests[0].headers]
             assert names == [b"host", b"transfer-encoding"]
 
     asyncio.run(main())
 
 
-def test_a_body_that_stops_coming_is_given_up() -> None:
-    """Its connection was held for as long as the client liked."""
+def test_a_stalled_body_is_timed_out() -> None:
+    """A client could hold its connection open without limit."""
 
     async def main() -> None:
-        async with listening() as found:
-            found.server.limits = model.Limits(idle_s=0.3)
-            found.writer.write(HEAD + b"Content-Length: 9\r\n\r\nhalf")
+        async with running_server() as served:
+            served.server.limits = model.Limits(idle_s=0.3)
+            served.writer.write(HEAD + b"Content-Length: 9\r\n\r\nhalf")
             async with asyncio.timeout(platform_site.TIMEOUT_S):
-                assert b" 408 " in await found.reader.readline()
-            assert not found.seen
+                assert b" 408 " in await served.reader.readline()
+            assert not served.requests
 
     asyncio.run(main())
 
 
-def test_no_word_to_go_on_is_put_into_an_earlier_answer() -> None:
+def test_no_100_continue_is_written_into_an_earlier_answer() -> None:
     async def main() -> None:
-        async with listening() as found:
-            found.answer.clear()
-            found.writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
-            await platform_site.until(lambda: bool(found.seen))
-            found.writer.write(
+        async with running_server() as served:
+            served.answer.clear()
+            served.writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
+            await platform_site.until(lambda: bool(served.requests))
+            served.writer.write(
                 HEAD + b"Expect: 100-continue\r\nContent-Length: 1\r\n\r\ny"
             )
             await platform_site.until(
-                lambda: any(one._ahead for one in found.server.connections)
+                lambda: any(
+                    conn._pipelined for conn in served.server.connections
+                )
             )
-            found.answer.set()
+            served.answer.set()
             both = b""
             async with asyncio.timeout(platform_site.TIMEOUT_S):
                 while both.count(b"done") < 2:
-                    both += await found.reader.read(4096)
+                    both += await served.reader.read(4096)
             assert b"100 Continue" not in both
-            assert [req.body for req in found.seen] == [b"", b"y"]
+            assert [req.body for req in served.requests] == [b"", b"y"]
 
     asyncio.run(main())
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one endpoint when all that may be open are in use."""
+"""The connection pool when an endpoint's connection limit is reached."""
 
 import asyncio
 import pathlib
@@ -11,11 +11,11 @@
 from tests import platform_site
 from tests import test_gateway
 
-_WHERE = "10.0.0.1:80"
+_ADDRESS = "10.0.0.1:80"
 
 
 class Connection:
-    """A connection that is kept after each exchange."""
+    """A stand-in that is reusable after each exchange."""
 
     is_open = True
     idle_until = 1e9
@@ -36,30 +36,30 @@
 
 
 async def exchange(found: pool_mod.Pool, seconds: float) -> float:
-    """Hold a connection; when it was had."""
-    async with found.connection(_WHERE, limit=2):
+    """Hold a connection; return the time at which it was acquired."""
+    async with found.connection(_ADDRESS, limit=2):
         at = asyncio.get_running_loop().time()
         await asyncio.sleep(seconds)
     return at
 
 
-def test_who_finds_all_in_use_waits_for_the_next(
+def test_a_request_over_the_limit_waits_for_a_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Six requests of 75 ms over two connections, one after the other."""
+    """Six requests of 75 ms share two connections."""
 
     async def main() -> None:
         found = pool(monkeypatch)
         began = asyncio.get_running_loop().time()
         tasks = [exchange(found, 0.075) for _ in range(6)]
-        had = [at - began for at in await asyncio.gather(*tasks)]
-        assert had == pytest.approx([0, 0, 0.075, 0.075, 0.15, 0.15])
-        assert found._open[_WHERE] == 0
+        acquired_at = [at - began for at in await asyncio.gather(*tasks)]
+        assert acquired_at == pytest.approx([0, 0, 0.075, 0.075, 0.15, 0.15])
+        assert found._open[_ADDRESS] == 0
 
     virtual.run(main())
 
 
-def test_nobody_waits_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_wait_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         found = pool(monkeypatch)
         busy = [asyncio.create_task(exchange(found, 5.0)) for _ in range(2)]
@@ -68,16 +68,16 @@
             await exchange(found, 0.1)
         assert not caught.value.sent
         await asyncio.gather(*busy)
-        assert found._open[_WHERE] == 0
+        assert found._open[_ADDRESS] == 0
         await exchange(found, 0.1)
 
     virtual.run(main())
 
 
-def test_who_leaves_while_it_waits_takes_no_place(
+def test_a_cancelled_waiter_takes_no_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Also one that leaves in the moment in which it is given one."""
+    """Also one that is cancelled just as it is handed a connection."""
 
     async def main() -> None:
         found = pool(monkeypatch)
@@ -95,22 +95,26 @@
         late[0].cancel()
         late[0].add_done_callback(lambda _: gone.cancel())
         await asyncio.wait([*late, gone])
-        assert found._open[_WHERE] == 0
+        assert found._open[_ADDRESS] == 0
 
     virtual.run(main())
 
 
-def test_an_endpoint_to_which_all_are_in_use_is_not_told_as_broken(
+def test_an_endpoint_at_its_connection_limit_is_not_marked_failed(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Other gateways would avoid it, and it had failed nobody."""
+    """Other gateways would avoid an endpoint that has not failed."""
 
-    async def none_free(self: pool_mod.Pool, address: str, most: int) -> None:
+    async def fail_to_acquire(
+        self: pool_mod.Pool, address: str, limit: int
+    ) -> None:
         raise exceptions.ConnectionLimitReached
 
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            monkeypatch.setattr(pool_mod.Pool, "_enter", none_free)
+            monkeypatch.setattr(
+                pool_mod.Pool, "_acquire_slot", fail_to_acquire
+            )
             for path in ("/unsafe/x", "/gen/x"):
                 got = await site.raw(test_gateway.request(path))
                 assert test_gateway.status(got) == 503
