--- a/rackpost/background.py
+++ b/rackpost/background.py
@@ -1,4 +1,4 @@
-"""Tasks in the background of a process: kept, and their faults logged."""
+"""Background tasks of a process."""
 
 import asyncio
 import contextlib
@@ -10,18 +10,17 @@
 
 __all__ = ["Tasks"]
 
-# A lasting task that met a fault begins again after this, in seconds: soon
-# for its callers, and no line for each turn of the loop.
-_BEGIN_AGAIN_S = 0.2
+# Delay before a failed task restarts; bounds the rate of its log lines.
+_RESTART_DELAY_S = 0.2
 
 
 class Tasks:
-    """Background tasks: kept from being collected, their faults logged."""
+    """A set of tasks, referenced until they end, whose errors are logged."""
 
     def __init__(self, *, part: logs.Part) -> None:
         self._part = part
         self._tasks: set[asyncio.Task[Any]] = set()
-        # Set when a task has failed without which the process is of no use.
+        # Set when a task failed that the process can't work without.
         self.vital_failed = asyncio.Event()
 
     def spawn(
@@ -31,30 +30,30 @@
         name = getattr(coro, "__qualname__", "")
         task = asyncio.get_running_loop().create_task(coro, name=name)
         self._tasks.add(task)
-        task.add_done_callback(lambda done: self._ended(done, vital))
+        task.add_done_callback(lambda done: self._on_done(done, vital))
 
-    def keep(self, lasting: Callable[[], Coroutine[Any, Any, Any]]) -> None:
-        """Run what lasts as long as the process; again after a fault."""
-        self.spawn(self._keep(lasting))
+    def keep(self, factory: Callable[[], Coroutine[Any, Any, Any]]) -> None:
+        """Run a task for as long as the process; restart it after an error."""
+        self.spawn(self._run_forever(factory))
 
-    async def _keep(
-        self, lasting: Callable[[], Coroutine[Any, Any, Any]]
+    async def _run_forever(
+        self, factory: Callable[[], Coroutine[Any, Any, Any]]
     ) -> None:
         while True:
             try:
-                await lasting()
+                await factory()
                 return
             except Exception as exc:
-                # One item that it can't take must not end it for all others.
+                # One bad item must not stop the processing of the others.
                 logs.say(
                     self._part,
                     "A task began again.",
-                    task=lasting.__qualname__,
+                    task=factory.__qualname__,
                     why=repr(exc),
                 )
-            await asyncio.sleep(_BEGIN_AGAIN_S)
+            await asyncio.sleep(_RESTART_DELAY_S)
 
-    def _ended(self, task: asyncio.Task[Any], vital: bool) -> None:
+    def _on_done(self, task: asyncio.Task[Any], vital: bool) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -68,7 +67,7 @@
             self.vital_failed.set()
 
     async def close(self) -> None:
-        """Cancel all, and wait for their ends."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/rackpost/clock.py
+++ b/rackpost/clock.py
@@ -1,13 +1,11 @@
-"""The programs' event loop, and the clock that all they decide counts by.
+"""The programs' event loop, whose clock includes time spent suspended.
 
-A VM may be suspended for seconds.  The steady clock stands still meanwhile,
-and whatever was known seems as fresh as before: a lease that another has
-taken over long since, a quorum last heard of, the window of a quota, a
-request's deadline.  The loop's clock counts that time, so that each age is
-true from the first moment after.  It can't be set, and never goes back.
+CLOCK_MONOTONIC stops while a VM is suspended, so that leases, quota windows
+and deadlines would seem too fresh after it resumes.  The loop's clock is
+CLOCK_BOOTTIME, which counts that time and never goes back.
 
-The loop's timers count by the steady clock: one that was set for a second
-may ring a second after the VM has woken.  What it then decides is right.
+Timers of the loop still run on CLOCK_MONOTONIC: one may fire late after the
+VM has resumed, but the time that its callback reads is right.
 """
 
 import asyncio
@@ -19,17 +17,16 @@
 
 from rackpost import logs
 
-# How often it is looked whether the VM was suspended, in seconds; and from
-# how many seconds on that is worth a line.
-_LOOK_S = 0.5
-_WORTH_S = 0.1
+# How often suspensions are checked for, and the shortest one that is logged.
+_CHECK_INTERVAL_S = 0.5
+_MIN_LOGGED_S = 0.1
 
 
 class Loop(uvloop.Loop):
-    """An event loop whose clock counts the time of a suspended VM."""
+    """An event loop whose clock includes time spent suspended."""
 
     def time(self) -> float:
-        """Seconds since the VM was booted."""
+        """Return the seconds since the VM was booted."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -39,18 +36,18 @@
 
 
 class SuspendWatch:
-    """Logs how long the VM was suspended, once it has woken."""
+    """Logs how long the VM was suspended, after it has resumed."""
 
     def __init__(self, *, part: logs.Part) -> None:
         self._part = part
-        self._before = _not_counted_s()
+        self._last = _suspended_s()
 
     def look(self) -> float:
-        """Seconds for which it was suspended since the last look."""
-        now = _not_counted_s()
-        suspended_s = now - self._before
-        self._before = now
-        if suspended_s >= _WORTH_S:
+        """Return the seconds of suspension since the last call."""
+        now = _suspended_s()
+        suspended_s = now - self._last
+        self._last = now
+        if suspended_s >= _MIN_LOGGED_S:
             logs.say(
                 self._part,
                 "Was suspended.",
@@ -59,13 +56,13 @@
         return suspended_s
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             self.look()
 
 
-def _not_counted_s() -> float:
-    """How far the steady clock has stood still since the start."""
-    steady = time.clock_gettime(time.CLOCK_MONOTONIC)
-    return time.clock_gettime(time.CLOCK_BOOTTIME) - steady
+def _suspended_s() -> float:
+    """Return the seconds of suspension since boot."""
+    monotonic = time.clock_gettime(time.CLOCK_MONOTONIC)
+    return time.clock_gettime(time.CLOCK_BOOTTIME) - monotonic
--- a/rackpost/cmd_agent.py
+++ b/rackpost/cmd_agent.py
@@ -12,11 +12,11 @@
 @cappa.command(name="rackpost-agent")
 @dataclasses.dataclass(kw_only=True)
 class AgentCommand(config.AgentOptions):
-    """Own one endpoint's capacity and give it its work."""
+    """Manage the capacity of one endpoint and send it its work."""
 
 
 async def serve(opts: config.AgentOptions) -> None:
-    """Run an agent until SIGTERM, then leave as planned."""
+    """Run an agent until SIGTERM, then leave gracefully."""
     opts.check()
     running = process.AgentProcess(opts=opts)
     with program.stop_signals() as stop:
--- a/rackpost/cmd_control.py
+++ b/rackpost/cmd_control.py
@@ -15,7 +15,7 @@
 @cappa.command(name="init")
 @dataclasses.dataclass(kw_only=True)
 class Init:
-    """Make the data folder of a new replica, once."""
+    """Create the data folder of a new replica."""
 
     data: Annotated[
         str,
@@ -47,19 +47,19 @@
 @cappa.command(name="rackpost-control")
 @dataclasses.dataclass(kw_only=True)
 class ControlCommand:
-    """Keep the site's durable state, replicated."""
+    """Store the site's durable state on replicas."""
 
     what: cappa.Subcommands[Init | Run]
 
 
-async def init(asked: Init) -> None:
-    """Make a data folder."""
-    opts = config.ControlOptions(data=asked.data)
-    first = [item for item in asked.first.split(",") if item]
-    if bool(first) == asked.join:
+async def init(args: Init) -> None:
+    """Create the data folder of a replica."""
+    opts = config.ControlOptions(data=args.data)
+    voters = [item for item in args.first.split(",") if item]
+    if bool(voters) == args.join:
         program.die("give either --first or --join")
-    process.create(opts, replica=asked.replica, first=first)
-    print(f"rackpost-control: made replica {asked.replica}", flush=True)
+    process.create(opts, replica=args.replica, first=voters)
+    print(f"rackpost-control: made replica {args.replica}", flush=True)
 
 
 async def serve(opts: config.ControlOptions) -> None:
@@ -73,13 +73,15 @@
                 f"operators on {ports.operators}",
                 flush=True,
             )
-            await _either(stop, running.failed)
+            await _wait_for_either(stop, running.failed)
     if running.failed.is_set():
         program.die("the replica ended; see the log", code=1)
 
 
-async def _either(one: asyncio.Event, two: asyncio.Event) -> None:
-    tasks = [asyncio.create_task(item.wait()) for item in (one, two)]
+async def _wait_for_either(
+    first: asyncio.Event, second: asyncio.Event
+) -> None:
+    tasks = [asyncio.create_task(item.wait()) for item in (first, second)]
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
         task.cancel()
@@ -89,8 +91,8 @@
 
 def main() -> None:
     """Run the program."""
-    asked = program.parse(ControlCommand).what
-    if isinstance(asked, Init):
-        program.run(lambda: init(asked))
+    args = program.parse(ControlCommand).what
+    if isinstance(args, Init):
+        program.run(lambda: init(args))
     else:
-        program.run(lambda: serve(asked))
+        program.run(lambda: serve(args))
--- a/rackpost/cmd_coordinator.py
+++ b/rackpost/cmd_coordinator.py
@@ -12,21 +12,21 @@
 async def serve(
     host: settings.HostSettings, signals: site_program.Signals
 ) -> None:
-    """Keep the site's state until a planned stop."""
+    """Run a coordinator until a stop signal or a vital failure."""
     coordinator = process.Coordinator(host=host)
     async with coordinator.serving():
         watch = asyncio.create_task(signals.watch(coordinator.reload))
-        await _first(signals.stop, coordinator.tasks.vital_failed)
+        await _wait_for_any(signals.stop, coordinator.tasks.vital_failed)
         logs.say(logs.Part.COORDINATOR, "Stopping.")
         watch.cancel()
         if coordinator.tasks.vital_failed.is_set():
-            # What it holds in memory is not known: its disk is.
+            # The state in memory is unreliable; a restart reads the disk.
             raise exceptions.StorageError("the replica has failed")
 
 
-async def _first(*found: asyncio.Event) -> None:
-    """Wait until one of these is set."""
-    waits = [asyncio.create_task(event.wait()) for event in found]
+async def _wait_for_any(*events: asyncio.Event) -> None:
+    """Wait until one of the events is set."""
+    waits = [asyncio.create_task(event.wait()) for event in events]
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
         wait.cancel()
--- a/rackpost/cmd_demo.py
+++ b/rackpost/cmd_demo.py
@@ -1,4 +1,4 @@
-"""The program `rackpost-demo`: a whole site in one process, on loopback."""
+"""The program `rackpost-demo`: a site in one process, on loopback."""
 
 import asyncio
 import collections
@@ -43,18 +43,18 @@
 
 
 class _Tally:
-    """What became of the requests."""
+    """Counts of request outcomes by kind."""
 
     def __init__(self) -> None:
         self.kinds: dict[str, collections.Counter[str]] = {}
 
-    def add(self, kind: str, what: str) -> None:
-        """Count one end of a request."""
-        self.kinds.setdefault(kind, collections.Counter())[what] += 1
+    def add(self, kind: str, outcome: str) -> None:
+        """Count one outcome."""
+        self.kinds.setdefault(kind, collections.Counter())[outcome] += 1
 
 
 class _Burst:
-    """Callers that send a schedule to the entries, and check answers."""
+    """Callers that send scheduled requests and check the answers."""
 
     def __init__(
         self,
@@ -110,27 +110,27 @@
             data = await resp.read()
             took = time.monotonic() - began
             if resp.status != 200:
-                self._refused(kind, resp.status, data)
+                self._record_error(kind, resp.status, data)
                 return
-        want = plain.answer_to(kind.method, path, "", offer.body)
-        self._ended(kind, data == want, took <= kind.ttft_s)
+        expected = plain.answer_to(kind.method, path, "", offer.body)
+        self._record_answer(kind, data == expected, took <= kind.ttft_s)
 
     async def _stream(
         self, url: str, headers: dict[str, str], offer: workload.Offer
     ) -> None:
         kind = offer.kind
-        asked = msgspec.json.decode(offer.body)
-        asked["stream"] = True
+        body = msgspec.json.decode(offer.body)
+        body["stream"] = True
         began = time.monotonic()
         first = last = 0.0
         texts: list[str] = []
         async with self._session.post(
             f"{url}/v1/chat/completions",
             headers=headers,
-            data=msgspec.json.encode(asked),
+            data=msgspec.json.encode(body),
         ) as resp:
             if resp.status != 200:
-                self._refused(kind, resp.status, await resp.read())
+                self._record_error(kind, resp.status, await resp.read())
                 return
             async for line in resp.content:
                 text = _text_of(line)
@@ -139,22 +139,26 @@
                     first = first or last
                     texts.append(text)
             self.reached.add(resp.headers["x-request-id"])
-        whole = texts == engine.answer_to(offer.body)
+        correct = texts == engine.answer_to(offer.body)
         gap = (last - first) / max(1, len(texts) - 1)
-        good = first - began <= kind.ttft_s and gap <= 0.058
-        self._ended(kind, whole, good)
-        self._show_some(kind.name, first - began, gap, texts)
+        in_time = first - began <= kind.ttft_s and gap <= 0.058
+        self._record_answer(kind, correct, in_time)
+        self._print_sample(kind.name, first - began, gap, texts)
 
-    def _refused(self, kind: workload.Kind, status: int, data: bytes) -> None:
+    def _record_error(
+        self, kind: workload.Kind, status: int, data: bytes
+    ) -> None:
         problem = msgspec.json.decode(data)
-        word = f"{problem.get('outcome')}: {problem.get('reason', status)}"
-        self.tally.add(kind.name, word)
+        outcome = f"{problem.get('outcome')}: {problem.get('reason', status)}"
+        self.tally.add(kind.name, outcome)
 
-    def _ended(self, kind: workload.Kind, whole: bool, good: bool) -> None:
-        word = "answered in time" if good else "answered late"
-        self.tally.add(kind.name, word if whole else "WRONG ANSWER")
+    def _record_answer(
+        self, kind: workload.Kind, correct: bool, in_time: bool
+    ) -> None:
+        outcome = "answered in time" if in_time else "answered late"
+        self.tally.add(kind.name, outcome if correct else "WRONG ANSWER")
 
-    def _show_some(
+    def _print_sample(
         self, kind: str, first: float, gap: float, texts: list[str]
     ) -> None:
         self._shown += 1
@@ -219,8 +223,8 @@
     for kind, counts in sorted(burst.tally.kinds.items()):
         total += sum(counts.values())
         good += counts["answered in time"]
-        for word, count in sorted(counts.items()):
-            rows.append(f"  {kind:<10} {word:<40} {count:>5}")
+        for outcome, count in sorted(counts.items()):
+            rows.append(f"  {kind:<10} {outcome:<40} {count:>5}")
     spent = site.ledger.prefilled
     wasted = sum(
         tokens for key, tokens in spent.items() if key.req not in burst.reached
@@ -231,7 +235,7 @@
     return "\n".join(rows)
 
 
-async def demo(asked: DemoCommand) -> None:
+async def demo(args: DemoCommand) -> None:
     """Run the demo."""
     timeout = aiohttp.ClientTimeout(total=_CLIENT_TIMEOUT_S)
     with tempfile.TemporaryDirectory() as folder:
@@ -243,25 +247,23 @@
                 timeout=timeout,
                 connector=aiohttp.TCPConnector(limit=0),
             ) as session:
-                burst = _Burst(
-                    site=site, session=session, show=not asked.quiet
-                )
+                burst = _Burst(site=site, session=session, show=not args.quiet)
                 await asyncio.gather(
                     *(
-                        burst.run(item, asked.rate, asked.seconds)
+                        burst.run(item, args.rate, args.seconds)
                         for item in workload.DEPLOYMENTS.values()
                     )
                 )
-            print("What became of the requests:")
+            print("Outcomes of the requests:")
             print(_table(burst, site), flush=True)
 
 
 def main() -> None:
     """Run the program."""
-    asked = program.parse(DemoCommand)
+    args = program.parse(DemoCommand)
     with open("/dev/null", "w") as quiet:
         logs.to_stream(quiet)
         try:
-            asyncio.run(demo(asked))
+            asyncio.run(demo(args))
         except KeyboardInterrupt:
             sys.exit(130)
--- a/rackpost/cmd_entry.py
+++ b/rackpost/cmd_entry.py
@@ -12,11 +12,11 @@
 @cappa.command(name="rackpost-entry")
 @dataclasses.dataclass(kw_only=True)
 class EntryCommand(config.EntryOptions):
-    """Serve callers: authenticate, admit, place and stream."""
+    """Serve callers: authenticate, admit, place and stream requests."""
 
 
 async def serve(opts: config.EntryOptions) -> None:
-    """Run an entry until SIGTERM, then stop as planned."""
+    """Run an entry until SIGTERM, then stop gracefully."""
     opts.check()
     running = process.EntryProcess(opts=opts)
     with program.stop_signals() as stop:
--- a/rackpost/cmd_gateway.py
+++ b/rackpost/cmd_gateway.py
@@ -15,7 +15,7 @@
     host: settings.HostSettings,
     signals: site_program.Signals,
 ) -> None:
-    """Serve clients until a planned stop."""
+    """Run a gateway until a stop signal."""
     if policy != policy_mod.Policy():
         logs.say(
             logs.Part.GATEWAY,
--- a/rackpost/cmd_operator.py
+++ b/rackpost/cmd_operator.py
@@ -1,4 +1,4 @@
-"""The program `rackpost`, for operators."""
+"""The operators' program `rackpost`."""
 
 import datetime
 import getpass
@@ -27,13 +27,13 @@
 _TIMEOUT_S = 5.0
 
 
-def _control(asked: operator_commands.Site) -> operator_client.ControlClient:
+def _client(args: operator_commands.Site) -> operator_client.ControlClient:
     return operator_client.ControlClient(
-        addresses=asked.control, key_file=asked.operator_key_file
+        addresses=args.control, key_file=args.operator_key_file
     )
 
 
-def _value(text: str) -> str | int | float:
+def _parse_value(text: str) -> str | int | float:
     for kind in (int, float):
         try:
             return kind(text)
@@ -42,28 +42,28 @@
     return text
 
 
-def _head(who: operator_client.ControlClient, path: str) -> int:
-    return int(who.get("/v1/settings", path=path)["revision"])
+def _revision(control: operator_client.ControlClient, path: str) -> int:
+    return int(control.get("/v1/settings", path=path)["revision"])
 
 
-def show(asked: operator_commands.Show) -> str:
-    """A node as text."""
-    found = _control(asked).get(
+def show(args: operator_commands.Show) -> str:
+    """Return a node of the settings as text."""
+    found = _client(args).get(
         "/v1/settings",
-        path=asked.path,
-        service=asked.service,
-        kind=asked.kind,
+        path=args.path,
+        service=args.service,
+        kind=args.kind,
     )
-    if asked.json:
+    if args.json:
         return json.dumps(found, indent=1)
-    lines = [f"{asked.path or 'the root'} (revision {found['revision']})"]
-    if not asked.effective:
+    lines = [f"{args.path or 'the root'} (revision {found['revision']})"]
+    if not args.effective:
         for key, value in sorted(found["values"].items()):
             lines.append(f"  {key} = {value}")
         return "\n".join(lines)
     for item in found["effective"]:
         line = f"  {item['name']:<16} {item['value']} {item['unit']}"
-        if asked.why:
+        if args.why:
             line += f"  [{_source(item)}]"
         lines.append(line)
     return "\n".join(lines)
@@ -77,36 +77,38 @@
     return f"{item['node'] or 'the root'}, {item['key']}"
 
 
-def change(asked: operator_commands.Set) -> str:
-    """Change a node; the result as text."""
-    who = _control(asked)
+def change(args: operator_commands.Set) -> str:
+    """Change a node of the settings."""
+    control = _client(args)
     values: dict[str, Any] = {}
     unset = []
-    for item in asked.assign:
+    for item in args.assign:
         key, equals, text = item.partition("=")
         if not equals:
             raise exceptions.SettingsError(f"{item!r} is not key=value")
         if text:
-            values[key] = _value(text)
+            values[key] = _parse_value(text)
         else:
             unset.append(key)
-    base = asked.based_on
+    base = args.based_on
     if base < 0:
-        base = _head(who, asked.path)
+        base = _revision(control, args.path)
     body = {
-        "op": asked.op or secrets.token_hex(8),
+        "op": args.op or secrets.token_hex(8),
         "who": getpass.getuser(),
-        "path": asked.path,
+        "path": args.path,
         "based_on": base,
         "values": values,
         "unset": unset,
-        "dry_run": asked.dry_run,
+        "dry_run": args.dry_run,
     }
-    return _written(who.post("/v1/settings", body), asked)
+    return _format_result(control.post("/v1/settings", body), args)
 
 
-def _written(result: dict[str, Any], asked: operator_commands.Site) -> str:
-    if asked.json:
+def _format_result(
+    result: dict[str, Any], args: operator_commands.Site
+) -> str:
+    if args.json:
         return json.dumps(result)
     if "changes" in result:
         lines = [
@@ -117,10 +119,10 @@
     return f"accepted as revision {result['revision']}"
 
 
-def history(asked: operator_commands.History) -> str:
-    """The latest changes as text."""
-    found = _control(asked).get("/v1/history")
-    if asked.json:
+def history(args: operator_commands.History) -> str:
+    """Return the latest changes as text."""
+    found = _client(args).get("/v1/history")
+    if args.json:
         return json.dumps(found, indent=1)
     lines = []
     for item in found:
@@ -137,17 +139,17 @@
     return "\n".join(lines)
 
 
-def undo(asked: operator_commands.Undo) -> str:
-    """Put a node back to what it was before a change."""
-    who = _control(asked)
+def undo(args: operator_commands.Undo) -> str:
+    """Restore the values that a node had before a change."""
+    control = _client(args)
     found = [
         item
-        for item in who.get("/v1/history")
-        if item["revision"] == asked.revision and item.get("node")
+        for item in control.get("/v1/history")
+        if item["revision"] == args.revision and item.get("node")
     ]
     if not found:
         raise exceptions.SettingsError(
-            f"no change of a node has revision {asked.revision}"
+            f"no change of a node has revision {args.revision}"
         )
     item = found[0]
     before = (item.get("before") or {"values": {}})["values"]
@@ -156,23 +158,23 @@
         "op": secrets.token_hex(8),
         "who": getpass.getuser(),
         "path": item["path"],
-        "based_on": asked.revision,
+        "based_on": args.revision,
         "values": before,
         "unset": [key for key in after if key not in before],
     }
-    return _written(who.post("/v1/settings", body), asked)
+    return _format_result(control.post("/v1/settings", body), args)
 
 
-def apply_file(asked: operator_commands.Apply) -> str:
-    """Apply a file; one change for each node that differs."""
-    who = _control(asked)
+def apply_file(args: operator_commands.Apply) -> str:
+    """Apply a file, with one change for each node that differs."""
+    control = _client(args)
     try:
-        nodes = json.loads(pathlib.Path(asked.file).read_text())
+        nodes = json.loads(pathlib.Path(args.file).read_text())
     except (OSError, ValueError) as exc:
-        raise exceptions.SettingsError(f"{asked.file}: {exc}") from exc
+        raise exceptions.SettingsError(f"{args.file}: {exc}") from exc
     lines = []
     for path, values in nodes.items():
-        now = who.get("/v1/settings", path=path)
+        now = control.get("/v1/settings", path=path)
         if now["values"] == values:
             continue
         body = {
@@ -182,17 +184,17 @@
             "based_on": now["revision"],
             "values": values,
             "unset": [key for key in now["values"] if key not in values],
-            "dry_run": asked.dry_run,
+            "dry_run": args.dry_run,
         }
         lines.append(path or "the root")
-        lines.append(_written(who.post("/v1/settings", body), asked))
+        lines.append(_format_result(control.post("/v1/settings", body), args))
     return "\n".join(lines) or "nothing to change"
 
 
-def list_events(asked: operator_commands.ListEvents) -> str:
-    """Declared events as a table."""
-    found = _control(asked).get("/v1/events")
-    if asked.json:
+def list_events(args: operator_commands.ListEvents) -> str:
+    """Return the declared events as a table."""
+    found = _client(args).get("/v1/events")
+    if args.json:
         return json.dumps(found, indent=1)
     lines = [f"{'event':<20} {'start':<21} {'s':>6} {'rate':>7}  kinds"]
     for item in found:
@@ -208,19 +210,19 @@
     return "\n".join(lines)
 
 
-def _event_revision(who: operator_client.ControlClient, name: str) -> int:
-    for item in who.get("/v1/events"):
+def _event_revision(control: operator_client.ControlClient, name: str) -> int:
+    for item in control.get("/v1/events"):
         if item["event"]["name"] == name:
             return int(item["revision"])
     return 0
 
 
-def declare(asked: operator_commands.Declare) -> str:
+def declare(args: operator_commands.Declare) -> str:
     """Declare an event."""
-    who = _control(asked)
+    control = _client(args)
     try:
-        start = datetime.datetime.fromisoformat(asked.start)
-        values = json.loads(asked.values)
+        start = datetime.datetime.fromisoformat(args.start)
+        values = json.loads(args.values)
     except ValueError as exc:
         raise exceptions.SettingsError(f"--start or --values: {exc}") from exc
     if start.tzinfo is None:
@@ -228,37 +230,37 @@
     body = {
         "op": secrets.token_hex(8),
         "who": getpass.getuser(),
-        "based_on": _event_revision(who, asked.name),
+        "based_on": _event_revision(control, args.name),
         "event": {
-            "name": asked.name,
-            "path": asked.path,
+            "name": args.name,
+            "path": args.path,
             "start": start.timestamp(),
-            "length_s": asked.length,
-            "services": asked.services.split(","),
-            "kinds": asked.kinds.split(","),
-            "rate": asked.rate,
+            "length_s": args.length,
+            "services": args.services.split(","),
+            "kinds": args.kinds.split(","),
+            "rate": args.rate,
             "values": values,
         },
     }
-    return _written(who.post("/v1/events", body), asked)
+    return _format_result(control.post("/v1/events", body), args)
 
 
-def withdraw(asked: operator_commands.Withdraw) -> str:
+def withdraw(args: operator_commands.Withdraw) -> str:
     """Withdraw an event."""
-    who = _control(asked)
+    control = _client(args)
     body = {
         "op": secrets.token_hex(8),
         "who": getpass.getuser(),
-        "based_on": _event_revision(who, asked.name),
-        "name": asked.name,
+        "based_on": _event_revision(control, args.name),
+        "name": args.name,
     }
-    return _written(who.post("/v1/events/withdraw", body), asked)
+    return _format_result(control.post("/v1/events/withdraw", body), args)
 
 
-def status(asked: operator_commands.Status) -> str:
-    """Replicas and processes as a table."""
-    found = _control(asked).get("/v1/status")
-    if asked.json:
+def status(args: operator_commands.Status) -> str:
+    """Return replicas and processes as a table."""
+    found = _client(args).get("/v1/status")
+    if args.json:
         return json.dumps(found, indent=1)
     lines = [
         f"revision {found['revision']}, term {found['term']}, "
@@ -279,37 +281,37 @@
     return "\n".join(lines)
 
 
-def order(asked: operator_commands.Order) -> str:
-    """Give an order."""
+def order(args: operator_commands.Order) -> str:
+    """Send an order to an agent."""
     body = {
         "op": secrets.token_hex(8),
         "who": getpass.getuser(),
-        "agent": asked.agent,
-        "what": asked.what,
+        "agent": args.agent,
+        "what": args.what,
     }
-    return _written(_control(asked).post("/v1/orders", body), asked)
+    return _format_result(_client(args).post("/v1/orders", body), args)
 
 
-def replicas(asked: operator_commands.Replicas) -> str:
-    """Change the replicas."""
+def replicas(args: operator_commands.Replicas) -> str:
+    """Set the voters and learners."""
     body = {
-        "voters": [item for item in asked.voters.split(",") if item],
-        "learners": [item for item in asked.learners.split(",") if item],
+        "voters": [item for item in args.voters.split(",") if item],
+        "learners": [item for item in args.learners.split(",") if item],
     }
-    return json.dumps(_control(asked).post("/v1/replicas", body))
+    return json.dumps(_client(args).post("/v1/replicas", body))
 
 
-def explain(asked: operator_commands.Explain) -> str:
-    """The steps of a request as text."""
+def explain(args: operator_commands.Explain) -> str:
+    """Return the steps of a request as text."""
     try:
-        key = pathlib.Path(asked.caller_key_file).read_text().strip()
+        key = pathlib.Path(args.caller_key_file).read_text().strip()
     except OSError as exc:
         raise exceptions.ConfigError(
             f"--caller-key-file: {exc.strerror}"
         ) from exc
-    base = asked.entry if "//" in asked.entry else f"http://{asked.entry}"
+    base = args.entry if "//" in args.entry else f"http://{args.entry}"
     req = urllib.request.Request(
-        f"{base}/v1/requests/{urllib.parse.quote(asked.request_id)}",
+        f"{base}/v1/requests/{urllib.parse.quote(args.request_id)}",
         headers={"Authorization": f"Bearer {key}"},
     )
     try:
@@ -329,78 +331,78 @@
     return "\n".join(lines)
 
 
-def story(asked: operator_commands.Story) -> str:
-    """A request's log lines, from all files, in order."""
+def story(args: operator_commands.Story) -> str:
+    """Return a request's log lines from all files, in order."""
     found: list[log_story.Step] = []
-    for name in asked.files or ["-"]:
+    for name in args.files or ["-"]:
         try:
             file = sys.stdin if name == "-" else open(name, encoding="utf-8")
         except OSError as exc:
             raise exceptions.ConfigError(f"{name}: {exc.strerror}") from exc
         with file:
-            found += log_story.steps(file, asked.request_id)
+            found += log_story.steps(file, args.request_id)
     merged = log_story.merge(found)
-    if asked.json:
+    if args.json:
         return "\n".join(
             json.dumps(msgspec.to_builtins(step)) for step in merged
         )
     return log_story.text(merged)
 
 
-def check_config(asked: operator_commands.CheckConfig) -> str:
-    """What is wrong with a routing document, or what it holds."""
+def check_config(args: operator_commands.CheckConfig) -> str:
+    """Validate a routing document; return a summary of its contents."""
     try:
-        text = pathlib.Path(asked.file).read_bytes()
+        text = pathlib.Path(args.file).read_bytes()
     except OSError as exc:
-        raise exceptions.ConfigError(f"{asked.file}: {exc.strerror}") from exc
+        raise exceptions.ConfigError(f"{args.file}: {exc.strerror}") from exc
     doc = documents.decode(text)
     return (
         f"version {doc.version}: {len(doc.routes)} routes, "
-        f"{len(doc.services)} services, {_callers(doc)}, valid"
+        f"{len(doc.services)} services, {_describe_callers(doc)}, valid"
     )
 
 
-def _callers(doc: model.Document) -> str:
+def _describe_callers(doc: model.Document) -> str:
     if not doc.keys_required:
         return "no keys"
     keys = sum(len(item.keys) for item in doc.organisations)
     return f"{len(doc.organisations)} organisations with {keys} keys"
 
 
-def _shown(
-    asked: operator_commands.Coordinators,
+def _site_view(
+    args: operator_commands.Coordinators,
     show: Callable[[overview.Overview], str],
 ) -> str:
-    found = site_overview.fetch(asked.coordinators)
-    return site_overview.to_json(found) if asked.json else show(found)
+    found = site_overview.fetch(args.coordinators)
+    return site_overview.to_json(found) if args.json else show(found)
 
 
-def site_status(asked: operator_commands.SiteStatus) -> str:
-    """Leader, replicas, gateways and version."""
-    return _shown(asked, site_overview.status)
+def site_status(args: operator_commands.SiteStatus) -> str:
+    """Return leader, replicas, gateways and version."""
+    return _site_view(args, site_overview.status)
 
 
-def site_routes(asked: operator_commands.SiteRoutes) -> str:
-    """The routes in force."""
-    return _shown(asked, site_overview.routes)
+def site_routes(args: operator_commands.SiteRoutes) -> str:
+    """Return the routes in force."""
+    return _site_view(args, site_overview.routes)
 
 
-def site_endpoints(asked: operator_commands.SiteEndpoints) -> str:
-    """The endpoints and their states."""
-    return _shown(asked, site_overview.endpoints)
+def site_endpoints(args: operator_commands.SiteEndpoints) -> str:
+    """Return the endpoints and their states."""
+    return _site_view(args, site_overview.endpoints)
 
 
-def site_quotas(asked: operator_commands.SiteQuotas) -> str:
-    """Organisations' quotas and their use."""
-    return _shown(asked, site_overview.quotas)
+def site_quotas(args: operator_commands.SiteQuotas) -> str:
+    """Return the organisations' quotas and their use."""
+    return _site_view(args, site_overview.quotas)
 
 
-def site_held(asked: operator_commands.SiteHeld) -> str:
-    """Requests that are held back."""
-    return _shown(asked, site_overview.quarantined)
+def site_held(args: operator_commands.SiteHeld) -> str:
+    """Return the quarantined requests."""
+    return _site_view(args, site_overview.quarantined)
 
 
-_ACTIONS: dict[type, Callable[[Any], str]] = {
+_HANDLERS: dict[type, Callable[[Any], str]] = {
     operator_commands.Show: show,
     operator_commands.Set: change,
     operator_commands.History: history,
@@ -425,18 +427,18 @@
 
 def main(argv: list[str] | None = None) -> None:
     """Run the program."""
-    asked: Any = program.parse(operator_commands.Operator, argv).what
+    args: Any = program.parse(operator_commands.Operator, argv).what
     if isinstance(
-        asked,
+        args,
         (
             operator_commands.Settings,
             operator_commands.Events,
             operator_commands.SiteCommands,
         ),
     ):
-        asked = asked.what
+        args = args.what
     try:
-        print(_ACTIONS[type(asked)](asked))
+        print(_HANDLERS[type(args)](args))
     except exceptions.UserError as exc:
         program.die(str(exc))
     except exceptions.ControlError as exc:
--- a/rackpost/config.py
+++ b/rackpost/config.py
@@ -1,7 +1,8 @@
 """The settings of each program, from flags and environment variables.
 
 Every flag `--some-name` has the environment variable RACKPOST_SOME_NAME;
-the flag goes first.  A bad value gives ConfigError, which names the flag.
+the flag has precedence.  An invalid value raises ConfigError, which names
+the flag.
 """
 
 import dataclasses
@@ -16,8 +17,8 @@
 from rackpost.link import websocket
 from rackpost import types
 
-_MIN_KEY = 16
-_ANY_HOST = ("0.0.0.0", "::")
+_MIN_KEY_SIZE = 16
+_WILDCARD_HOSTS = ("0.0.0.0", "::")
 
 
 def _opt(name: str, help_text: str, default: Any) -> Any:
@@ -32,7 +33,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class LinkOptions:
-    """What every process of the site needs to link to the others."""
+    """Settings of links, shared by all processes of a site."""
 
     key_file: Annotated[
         str, _opt("key_file", "file with the site's key", "")
@@ -59,7 +60,7 @@
     ] = ""
 
     def security(self) -> websocket.Security:
-        """The key and TLS contexts; ConfigError where they don't load."""
+        """Load the key and TLS contexts; ConfigError if that fails."""
         key = self._read_key()
         given = [self.tls_cert, self.tls_key, self.tls_ca]
         if not any(given):
@@ -83,9 +84,9 @@
             raise exceptions.ConfigError(
                 f"--key-file {self.key_file}: {exc.strerror}"
             ) from exc
-        if len(key) < _MIN_KEY:
+        if len(key) < _MIN_KEY_SIZE:
             raise exceptions.ConfigError(
-                f"--key-file: the key must have {_MIN_KEY} bytes or more"
+                f"--key-file: the key must have {_MIN_KEY_SIZE} bytes or more"
             )
         return key
 
@@ -97,27 +98,28 @@
             raise exceptions.ConfigError(
                 f"--tls-cert, --tls-key or --tls-ca: {exc}"
             ) from exc
-        # Peers are known by their certificate, and found by IP number.
+        # Peers are addressed by IP number; any certificate that the site's
+        # authority signed is accepted.
         context.check_hostname = False
         context.verify_mode = ssl.CERT_REQUIRED
         return context
 
     def bind(self) -> tuple[str, int]:
-        """The address to listen on."""
+        """Return the host and port to listen on."""
         return address(self.listen, "--listen")
 
     def control_addresses(self) -> list[str]:
-        """The control replicas; ConfigError if there is none."""
-        found = [item for item in self.control.split(",") if item]
-        if not found:
+        """Return the addresses of control replicas; ConfigError if none."""
+        addresses = [item for item in self.control.split(",") if item]
+        if not addresses:
             raise exceptions.ConfigError("--control names no replica")
-        for item in found:
+        for item in addresses:
             address(item, "--control")
-        return found
+        return addresses
 
 
 def address(text: str, flag: str) -> tuple[str, int]:
-    """Host and port of `host:port`; ConfigError names the flag."""
+    """Parse `host:port`; ConfigError names the flag."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > 65535:
         raise exceptions.ConfigError(f"{flag}: {text!r} is not host:port")
@@ -140,7 +142,7 @@
     ] = ""
 
     def check(self) -> None:
-        """Raise ConfigError where a value can't be used."""
+        """Raise ConfigError if a value is not valid."""
         self.bind()
         self.control_addresses()
         if not 1 <= self.subset <= 1024:
@@ -179,11 +181,11 @@
     ] = 2e9
 
     def check(self) -> None:
-        """Raise ConfigError where a value can't be used."""
+        """Raise ConfigError if a value is not valid."""
         host, _ = self.bind()
         self.control_addresses()
         self.parsed_role()
-        if host in _ANY_HOST and not self.advertise:
+        if host in _WILDCARD_HOSTS and not self.advertise:
             raise exceptions.ConfigError(
                 f"--listen {self.listen} needs --advertise: others can't "
                 "link to it"
@@ -203,7 +205,7 @@
                 raise exceptions.ConfigError(f"{flag} must be above 0")
 
     def parsed_role(self) -> types.Role:
-        """The role; ConfigError where there is no such one."""
+        """Return the role; ConfigError if it is not a valid one."""
         try:
             return types.Role(self.role)
         except ValueError:
@@ -235,7 +237,7 @@
     ] = ""
 
     def check(self) -> None:
-        """Raise ConfigError where a value can't be used."""
+        """Raise ConfigError if a value is not valid."""
         self.bind()
         address(self.operators, "--operators")
         self.peer_addresses()
@@ -244,30 +246,30 @@
         self.operator_key()
 
     def peer_addresses(self) -> dict[str, str]:
-        """Address of each replica by its id."""
-        found = {}
+        """Return the address of each replica by its id."""
+        addresses = {}
         for item in self.peers.split(","):
             if not item:
                 continue
-            name, equals, where = item.partition("=")
+            name, equals, peer_address = item.partition("=")
             if not equals or not name:
                 raise exceptions.ConfigError(
                     f"--peers: {item!r} is not id=host:port"
                 )
-            address(where, "--peers")
-            found[name] = where
-        return found
+            address(peer_address, "--peers")
+            addresses[name] = peer_address
+        return addresses
 
     def operator_key(self) -> str:
-        """The operators' bearer key; ConfigError where there is none."""
+        """Read the operators' bearer key; ConfigError if it is not usable."""
         try:
             text = pathlib.Path(self.operator_key_file).read_text()
         except OSError as exc:
             raise exceptions.ConfigError(
                 f"--operator-key-file: {exc.strerror}"
             ) from exc
-        if len(text.strip()) < _MIN_KEY:
+        if len(text.strip()) < _MIN_KEY_SIZE:
             raise exceptions.ConfigError(
-                f"--operator-key-file: {_MIN_KEY} characters or more"
+                f"--operator-key-file: {_MIN_KEY_SIZE} characters or more"
             )
         return text.strip()
--- a/rackpost/exceptions.py
+++ b/rackpost/exceptions.py
@@ -1,31 +1,30 @@
-"""Every exception that rackpost raises, under one root."""
+"""The exceptions of rackpost."""
 
 
 class RackpostError(Exception):
-    """The root of all errors of rackpost."""
+    """Base class of all errors of rackpost."""
 
 
 class UserError(RackpostError):
-    """Something the user can mend; the text says how."""
+    """An error that the user can correct; the message says how."""
 
 
 class ConfigError(UserError):
-    """A flag or an environment variable has an unusable value."""
+    """A flag or an environment variable has an invalid value."""
 
 
 class SettingsError(UserError):
-    """A change of the settings tree was not accepted."""
+    """A change of the settings tree was rejected."""
 
 
 class RoutingError(UserError):
-    """A routing document was not accepted; the text says why."""
+    """A routing document was rejected; the message says why."""
 
 
 class BadRequest(UserError):
-    """A caller's request is not well formed.
+    """A caller's request is malformed.
 
-    `reason` is the stable word that goes into the answer, `status` the
-    HTTP status it goes with.
+    `reason` is a stable code for the answer, `status` its HTTP status.
     """
 
     def __init__(self, reason: str, detail: str, *, status: int = 400):
@@ -35,7 +34,7 @@
 
 
 class LinkError(RackpostError):
-    """A link between two of rackpost's processes failed."""
+    """A link between two processes of rackpost failed."""
 
 
 class CodecError(LinkError):
@@ -43,11 +42,11 @@
 
 
 class EngineError(RackpostError):
-    """The endpoint did not do what it was asked.
+    """An endpoint failed to serve a request.
 
-    `ran` is false only where it is certain that the endpoint has not
-    started, and will not start, the work; `backoff_s` is how much longer it
-    asked for no more requests, in seconds.
+    `ran` is false only if it is certain that the endpoint has not started,
+    and will not start, the work.  `backoff_s` is the back-off that it
+    requested, in seconds.
     """
 
     def __init__(
@@ -59,17 +58,17 @@
 
 
 class ControlError(RackpostError):
-    """The control service could not take or answer a command."""
+    """The control service could not accept or answer a command."""
 
 
 class StorageError(RackpostError):
-    """What lies on the disk cannot be trusted."""
+    """Stored data is damaged, or the disk failed."""
 
 
 class ExchangeError(RackpostError):
-    """A request to an endpoint got no whole, sound answer.
+    """A request to an endpoint got no complete, valid answer.
 
-    `sent` is false only where not a byte of the request went out.
+    `sent` is false only if no byte of the request was written.
     """
 
     def __init__(self, detail: str, *, sent: bool = True):
@@ -78,14 +77,14 @@
 
 
 class EndpointIneligible(ExchangeError):
-    """Nothing may be sent to the endpoint now; the text says why."""
+    """The endpoint may not be sent requests now; the message says why."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(why, sent=False)
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason, sent=False)
 
 
 class ConnectionLimitReached(ExchangeError):
-    """All connections that may be open to an endpoint were in use."""
+    """All connections allowed to an endpoint are in use."""
 
     def __init__(self) -> None:
         super().__init__("too many open", sent=False)
--- a/rackpost/http_server.py
+++ b/rackpost/http_server.py
@@ -1,4 +1,4 @@
-"""Serving an ASGI application from within an event loop of ours."""
+"""Serving of an ASGI application in an existing event loop."""
 
 import asyncio
 import contextlib
@@ -8,24 +8,24 @@
 
 import uvicorn
 
-_STOP_S = 1
+_STOP_TIMEOUT_S = 1
 _BACKLOG = 1024
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves signals to the program it is part of."""
+    """A server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self):  # type: ignore[no-untyped-def]
-        """Take no signals."""
+        """Capture no signals."""
         yield
 
 
 def _listening(host: str, port: int) -> socket.socket:
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    # The protocol is named since event loops turn Nagle's algorithm off
-    # only on sockets that say that they are TCP; with it on, the second
-    # part of an answer waits for the peer's delayed acknowledgement.
+    # Event loops set TCP_NODELAY only if the protocol is IPPROTO_TCP;
+    # without it, the second chunk of an answer waits for the peer's delayed
+    # acknowledgement.
     sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -43,7 +43,7 @@
 ) -> AsyncIterator[int]:
     """Serve `app`; yields the port.  `tls` is a certificate and its key.
 
-    Raises OSError where the address can't be had.
+    Raises OSError if the address can't be bound.
     """
     sock = _listening(host, port)
     cfg = uvicorn.Config(
@@ -51,7 +51,7 @@
         log_level="warning",
         access_log=False,
         lifespan="off",
-        timeout_graceful_shutdown=_STOP_S,
+        timeout_graceful_shutdown=_STOP_TIMEOUT_S,
         timeout_keep_alive=30,
         ssl_certfile=tls[0] if tls else None,
         ssl_keyfile=tls[1] if tls else None,
--- a/rackpost/log_story.py
+++ b/rackpost/log_story.py
@@ -1,8 +1,7 @@
-"""One request's story from the logs of many processes.
+"""Merging of the log lines about one request from many processes.
 
-Clocks of VMs differ and may jump, so that the lines of one process keep
-their order, whatever their time says, and only processes are merged by
-time.
+Clocks of VMs differ and may jump: lines of one process keep their order
+whatever their timestamps, and only different processes are merged by time.
 """
 
 import heapq
@@ -12,8 +11,8 @@
 
 import msgspec
 
-# Fields that every line has, or that say nothing about the request.
-_COMMON = frozenset(
+# Fields that are not specific to the request.
+_COMMON_FIELDS = frozenset(
     (
         "text",
         "timestamp",
@@ -38,19 +37,19 @@
 
 
 def _record(line: str) -> dict | None:
-    # What collects logs may have put its own words before the object.
-    at = line.find("{")
-    if at < 0:
+    # Log collectors may prefix the JSON object.
+    start = line.find("{")
+    if start < 0:
         return None
     try:
-        found = json.loads(line[at:])
+        found = json.loads(line[start:])
     except ValueError:
         return None
     return found if isinstance(found, dict) else None
 
 
 def steps(lines: Iterable[str], request: str) -> Iterator[Step]:
-    """The lines about a request; lines that are no records are skipped."""
+    """Yield the lines about a request; skips lines that are not records."""
     for line in lines:
         if request not in line:
             continue
@@ -65,13 +64,13 @@
             facts={
                 key: value
                 for key, value in found.items()
-                if key not in _COMMON
+                if key not in _COMMON_FIELDS
             },
         )
 
 
 def merge(found: Iterable[Step]) -> list[Step]:
-    """All steps, by time, but those of one process in their order."""
+    """Merge steps by time, keeping the order within each process."""
     by_process: dict[tuple[str, str], list[Step]] = {}
     for step in found:
         by_process.setdefault((step.vm, step.program), []).append(step)
@@ -79,7 +78,7 @@
 
 
 def text(story: list[Step]) -> str:
-    """A story for people to read."""
+    """Format steps as human-readable text."""
     if not story:
         return "no line about this request"
     first = story[0].at
--- a/rackpost/logs.py
+++ b/rackpost/logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences, with a fixed prefix for each part."""
+"""Structured logging: a short sentence with a prefix, and fields."""
 
 import asyncio
 import collections
@@ -11,15 +11,15 @@
 import eliot
 import msgspec
 
-# Lines that wait for a slow reader of the log; more are dropped, counted.
-MAX_WAITING = 4000
-_FLUSH_S = 0.05
-# Most that is written at once, so that the event loop goes on soon.
-_MAX_WRITE = 64 << 10
+# Lines buffered for a slow reader of the log; more are dropped and counted.
+MAX_BUFFERED_LINES = 4000
+_FLUSH_INTERVAL_S = 0.05
+# Limit of one write, so that it does not block the event loop for long.
+_MAX_WRITE_BYTES = 64 << 10
 
 
 class Part(enum.Enum):
-    """The parts that write logs; the value is the prefix."""
+    """Components that write logs; the value is the prefix."""
 
     ENTRY = "entry"
     AGENT = "agent"
@@ -30,23 +30,23 @@
 
 
 class BoundedOutput:
-    """Log lines on their way to a file descriptor, never waited for.
+    """A non-blocking, bounded buffer of log lines for a file descriptor.
 
-    A reader that stalls costs lines, which are counted, and no time.
+    If the reader stalls, lines are dropped and counted.
     """
 
-    def __init__(self, *, fd: int, most: int = MAX_WAITING) -> None:
+    def __init__(self, *, fd: int, most: int = MAX_BUFFERED_LINES) -> None:
         self._fd = fd
-        self._most = most
+        self._max_lines = most
         self._lines: collections.deque[bytes] = collections.deque()
-        self._rest = b""
+        self._partial = b""
         self._timer: asyncio.TimerHandle | None = None
         self.dropped = 0
         os.set_blocking(fd, False)
 
     def __call__(self, record: dict[str, Any]) -> None:
-        """Take a record; write it soon."""
-        if len(self._lines) >= self._most:
+        """Buffer a record and schedule a flush."""
+        if len(self._lines) >= self._max_lines:
             self.dropped += 1
             return
         data = msgspec.json.encode(record, enc_hook=str)
@@ -61,86 +61,89 @@
         except RuntimeError:
             self.flush()
             return
-        self._timer = loop.call_later(_FLUSH_S, self._on_timer)
+        self._timer = loop.call_later(_FLUSH_INTERVAL_S, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
         self.flush()
-        if self._lines or self._rest:
+        if self._lines or self._partial:
             self._arm()
 
     def flush(self) -> None:
-        """Write what the reader takes at once."""
-        while self._lines or self._rest:
-            parts = [self._rest]
-            size = len(self._rest)
-            while self._lines and size < _MAX_WRITE:
+        """Write as much as the file descriptor accepts without blocking."""
+        while self._lines or self._partial:
+            chunks = [self._partial]
+            size = len(self._partial)
+            while self._lines and size < _MAX_WRITE_BYTES:
                 line = self._lines.popleft()
-                parts.append(line)
+                chunks.append(line)
                 size += len(line)
-            self._rest = b"".join(parts)
+            self._partial = b"".join(chunks)
             try:
-                done = os.write(self._fd, self._rest)
+                written = os.write(self._fd, self._partial)
             except OSError:
-                # Full, or gone: there is no other place to tell it.
+                # The pipe is full or closed; there is nowhere to report it.
                 return
-            self._rest = self._rest[done:]
+            self._partial = self._partial[written:]
 
 
 class SubjectRateLimiter:
-    """Lets a line on the same subject pass once in a while.
+    """Limits log lines to one per subject and interval.
 
-    Whatever a peer sends again and again would else fill the log; at most
-    so many subjects are remembered, and of more than these none is logged.
+    At most `max_subjects` are tracked at once; lines on further subjects
+    are suppressed.
     """
 
-    def __init__(self, *, pause_s: float, most: int = 256) -> None:
-        """`pause_s` is how long one subject rests, in seconds."""
+    def __init__(self, *, pause_s: float, max_subjects: int = 256) -> None:
+        """`pause_s` is the interval in seconds."""
         self._pause_s = pause_s
-        self._most = most
-        self._until: dict[str, float] = {}
+        self._max_subjects = max_subjects
+        self._suppressed_until: dict[str, float] = {}
 
     def is_due(self, subject: str, now: float) -> bool:
-        """Whether a line on a subject may be logged now."""
-        for known, until in list(self._until.items()):
+        """Whether a line may be logged now; if so, starts the interval."""
+        for tracked, until in list(self._suppressed_until.items()):
             if until > now:
                 break
-            del self._until[known]
-        if subject in self._until or len(self._until) >= self._most:
+            del self._suppressed_until[tracked]
+        if (
+            subject in self._suppressed_until
+            or len(self._suppressed_until) >= self._max_subjects
+        ):
             return False
-        self._until[subject] = now + self._pause_s
+        self._suppressed_until[subject] = now + self._pause_s
         return True
 
 
 class LineRateLimiter:
-    """Lets a line pass once in a while, and counts those that did not.
+    """Limits a log line to one per interval, and counts suppressed ones.
 
-    For lines that any client can bring about as often as it likes.
+    For lines that clients can trigger at any rate.
     """
 
     def __init__(self, *, pause_s: float) -> None:
-        """`pause_s` is between two lines, in seconds."""
+        """`pause_s` is the interval in seconds."""
         self._pause_s = pause_s
-        self._until = -pause_s
-        self._more = 0
+        self._suppressed_until = -pause_s
+        self._suppressed = 0
 
     def allow(self, now: float) -> int | None:
-        """How many lines were left out before this; None to leave it out."""
-        if now < self._until:
-            self._more += 1
+        """Return how many lines were suppressed before; None to suppress."""
+        if now < self._suppressed_until:
+            self._suppressed += 1
             return None
-        self._until = now + self._pause_s
-        more, self._more = self._more, 0
-        return more
+        self._suppressed_until = now + self._pause_s
+        suppressed, self._suppressed = self._suppressed, 0
+        return suppressed
 
 
 def to_stream(stream: TextIO | None = None) -> None:
-    """Write logs as lines of JSON, to standard error by default."""
+    """Write logs as JSON lines, to standard error by default."""
     eliot.to_file(stream or sys.stderr)
 
 
 def to_stdout(**common: str) -> BoundedOutput:
-    """Write logs to standard output, bounded; `common` is on each line."""
+    """Write logs to standard output; `common` fields are on each line."""
     output = BoundedOutput(fd=1)
     eliot.add_global_fields(**common)
     eliot.add_destinations(output)
@@ -148,7 +151,7 @@
 
 
 def say(part: Part, sentence: str, **fields: Any) -> None:
-    """Log a sentence, with its facts as fields."""
+    """Log a sentence with fields."""
     eliot.log_message(
         message_type=f"rackpost:{part.value}",
         text=f"{part.value}: {sentence}",
--- a/rackpost/metrics.py
+++ b/rackpost/metrics.py
@@ -1,4 +1,4 @@
-"""Counters by reason and latency histograms, in the usual text format."""
+"""Counters, gauges and latency histograms in the Prometheus text format."""
 
 import collections
 import enum
@@ -6,7 +6,7 @@
 
 from hdrh import histogram
 
-# Histograms hold microseconds, from one to ten minutes, to two digits.
+# Histograms record microseconds up to ten minutes, to two digits.
 _LOWEST_US = 1
 _HIGHEST_US = 600_000_000
 _DIGITS = 2
@@ -14,7 +14,7 @@
 
 
 class Metrics:
-    """The counters and histograms of one process."""
+    """The metrics of one process."""
 
     def __init__(self) -> None:
         self._counts: collections.Counter[tuple[str, str, str]] = (
@@ -30,24 +30,24 @@
         self._counts[(name, str(reason.value), scope)] += by
 
     def counted(self, name: str, reason: enum.Enum) -> int:
-        """What has been counted for a reason, over all scopes."""
-        word = str(reason.value)
+        """Return the count for a reason, over all scopes."""
+        wanted = str(reason.value)
         return sum(
             value
-            for (key, why, _), value in self._counts.items()
-            if key == name and why == word
+            for (key, label, _), value in self._counts.items()
+            if key == name and label == wanted
         )
 
     def totals(self, name: str) -> dict[str, int]:
-        """All that was counted under a name, by reason."""
+        """Return the counts of a name, by reason."""
         found: collections.Counter[str] = collections.Counter()
-        for (key, why, _), value in self._counts.items():
+        for (key, label, _), value in self._counts.items():
             if key == name:
-                found[why] += value
+                found[label] += value
         return dict(found)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a figure that goes up and down."""
+        """Set a gauge."""
         self._gauges[name] = value
 
     def time(self, name: str, kind: str, seconds: float) -> None:
@@ -60,12 +60,12 @@
         hist.record_value(micros)
 
     def text(self) -> str:
-        """Everything, in the Prometheus text exposition format 0.0.4."""
+        """Return all metrics in the Prometheus text format 0.0.4."""
         return "".join(f"{line}\n" for line in self._lines())
 
     def _lines(self) -> Iterator[str]:
-        for (name, why, scope), value in sorted(self._counts.items()):
-            labels = f'reason="{why}",scope="{scope}"'
+        for (name, reason, scope), value in sorted(self._counts.items()):
+            labels = f'reason="{reason}",scope="{scope}"'
             yield f"rackpost_{name}_total{{{labels}}} {value}"
         for name, level in sorted(self._gauges.items()):
             yield f"rackpost_{name} {level}"
--- a/rackpost/operator_client.py
+++ b/rackpost/operator_client.py
@@ -1,4 +1,4 @@
-"""The operators' interface of control, as a program asks it."""
+"""HTTP client of the control service's operator API."""
 
 import json
 import pathlib
@@ -10,11 +10,11 @@
 from rackpost import exceptions
 
 _TIMEOUT_S = 5.0
-_TRIES = 5
+_ROUNDS = 5
 
 
 class ControlClient:
-    """The operators' interface, at whichever replica answers."""
+    """Client of the operator API that tries each replica in turn."""
 
     def __init__(self, *, addresses: str, key_file: str) -> None:
         self._urls = [
@@ -33,17 +33,17 @@
         self._headers = {"Authorization": f"Bearer {key}"}
 
     def get(self, page: str, **query: str) -> Any:
-        """The answer to a question."""
+        """Return the decoded answer to a GET."""
         text = urllib.parse.urlencode(query)
-        return self._ask(f"{page}?{text}" if text else page, None)
+        return self._request(f"{page}?{text}" if text else page, None)
 
     def post(self, path: str, body: dict[str, Any]) -> Any:
-        """The result of a change; it is resent under its operation id."""
-        return self._ask(path, json.dumps(body).encode())
+        """Send a change; retries are safe because it has an operation id."""
+        return self._request(path, json.dumps(body).encode())
 
-    def _ask(self, path: str, data: bytes | None) -> Any:
-        last = "no control replica answers"
-        for url in self._urls * _TRIES:
+    def _request(self, path: str, data: bytes | None) -> Any:
+        error = "no control replica answers"
+        for url in self._urls * _ROUNDS:
             req = urllib.request.Request(
                 url + path, data=data, headers=self._headers
             )
@@ -54,14 +54,14 @@
                 text = exc.read().decode(errors="replace")
                 if exc.code != 503:
                     raise exceptions.SettingsError(explain(text)) from exc
-                last = explain(text)
+                error = explain(text)
             except OSError as exc:
-                last = f"{url}: {exc}"
-        raise exceptions.ControlError(last)
+                error = f"{url}: {exc}"
+        raise exceptions.ControlError(error)
 
 
 def explain(text: str) -> str:
-    """What an answer that is an error tells its reader."""
+    """Return the message for the user in an error answer."""
     try:
         body = json.loads(text)
     except ValueError:
--- a/rackpost/operator_commands.py
+++ b/rackpost/operator_commands.py
@@ -1,4 +1,4 @@
-"""The command line of `rackpost`: its subcommands and their flags."""
+"""Subcommands and options of the `rackpost` command line."""
 
 import dataclasses
 from typing import Annotated
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Site:
-    """Where control is, and as whom to speak to it."""
+    """Options for access to the control service."""
 
     control: Annotated[
         str,
@@ -149,7 +149,7 @@
 @cappa.command(name="status", help="Show replicas and processes.")
 @dataclasses.dataclass(kw_only=True)
 class Status(Site):
-    """Show replicas and processes, and on which revision they run."""
+    """Show replicas and processes, and the revision each uses."""
 
 
 @cappa.command(name="order", help="Order an agent to do something.")
@@ -175,7 +175,7 @@
 @cappa.command(name="explain", help="Show the steps of a request.")
 @dataclasses.dataclass(kw_only=True)
 class Explain:
-    """Show where a request was placed, why, and what became of it."""
+    """Show where a request was placed, why, and its outcome."""
 
     request_id: Annotated[str, cappa.Arg(help="id that the answer carries")]
     entry: Annotated[
@@ -194,7 +194,7 @@
 @cappa.command(name="story", help="Show a request's log lines in order.")
 @dataclasses.dataclass(kw_only=True)
 class Story:
-    """Show what the logs of gateways and coordinators say of a request."""
+    """Show the log lines of gateways and coordinators about a request."""
 
     request_id: Annotated[str, cappa.Arg(help="id that the client sent")]
     files: Annotated[
@@ -208,14 +208,14 @@
 @cappa.command(name="check-config", help="Check a routing document.")
 @dataclasses.dataclass(kw_only=True)
 class CheckConfig:
-    """Check a routing document as coordinators do, before it is sent."""
+    """Validate a routing document as coordinators do."""
 
     file: Annotated[str, cappa.Arg(help="the document, JSON")]
 
 
 @dataclasses.dataclass(kw_only=True)
 class Coordinators:
-    """Where the coordinators of a site tell what they know."""
+    """Options for access to the coordinators of a site."""
 
     coordinators: Annotated[
         str,
@@ -252,19 +252,19 @@
 @cappa.command(name="quotas", help="Show organisations' quotas and use.")
 @dataclasses.dataclass(kw_only=True)
 class SiteQuotas(Coordinators):
-    """Show what organisations used of their quotas, and where."""
+    """Show the quotas of organisations and their use."""
 
 
 @cappa.command(name="held", help="Show requests that are held back.")
 @dataclasses.dataclass(kw_only=True)
 class SiteHeld(Coordinators):
-    """Show requests under which endpoints ended, and for how much longer."""
+    """Show quarantined requests and the time until their release."""
 
 
 @cappa.command(name="site", help="A site of gateways and coordinators.")
 @dataclasses.dataclass(kw_only=True)
 class SiteCommands:
-    """A site of gateways and coordinators, as a coordinator knows it."""
+    """Inspect a site of gateways and coordinators."""
 
     what: cappa.Subcommands[
         SiteStatus | SiteRoutes | SiteEndpoints | SiteQuotas | SiteHeld
@@ -274,7 +274,7 @@
 @cappa.command(name="rackpost")
 @dataclasses.dataclass(kw_only=True)
 class Operator:
-    """Look at a site and change it."""
+    """Inspect and change a site."""
 
     what: cappa.Subcommands[
         Settings
--- a/rackpost/program.py
+++ b/rackpost/program.py
@@ -1,4 +1,4 @@
-"""What the commands share: bad settings, signals, the event loop."""
+"""Start-up shared by the command-line programs."""
 
 import asyncio
 import contextlib
@@ -19,17 +19,17 @@
 
 T = TypeVar("T")
 
-# Exit code of a program whose settings or arguments are bad.
+# Exit code for invalid settings or arguments.
 BAD_USE = 2
 
 
 def parse(command: type[T], argv: list[str] | None = None) -> T:
-    """The command line as an object; ends the program if it is bad."""
+    """Parse the command line; exits if it is not valid."""
     return cappa.parse(command, argv=argv, version=VERSION)
 
 
 def run(main: Callable[[], Awaitable[Any]]) -> None:
-    """Run a program to its end; a bad setting gives one clear line."""
+    """Run a program; expected errors end it with a one-line message."""
     logs.to_stream()
     try:
         clock.run(_as_coroutine(main))
@@ -48,14 +48,14 @@
 
 
 def die(text: str, *, code: int = BAD_USE) -> NoReturn:
-    """End the program with one line on standard error."""
+    """Exit with one line on standard error."""
     print(f"rackpost: {text}", file=sys.stderr)
     sys.exit(code)
 
 
 @contextlib.contextmanager
 def stop_signals() -> Iterator[asyncio.Event]:
-    """An event that is set by SIGTERM or SIGINT: a planned stop."""
+    """Yield an event that SIGTERM and SIGINT set."""
     loop = asyncio.get_running_loop()
     event = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/rackpost/site_program.py
+++ b/rackpost/site_program.py
@@ -1,7 +1,7 @@
-"""What gateway and coordinator programs share: start, reload and stop.
+"""Start, reload and stop of the gateway and coordinator programs.
 
-Their settings come from the platform's file, so that no command line has
-to be parsed; what they import decides how soon they are back.
+Their settings come from the platform's file.  No command line is parsed,
+and imports are few, to keep restarts fast.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 from rackpost.platform import settings
 from rackpost.version import VERSION
 
-# Settings may change without a signal: how often the file is looked at.
-_LOOK_S = 1.0
+# How often the settings file is checked for changes.
+_CHECK_INTERVAL_S = 1.0
 BAD_USE = 2
 
 T = TypeVar("T")
@@ -29,7 +29,7 @@
 
 
 class Signals:
-    """A planned stop, and changes of the settings file."""
+    """Stop and reload signals, and changes of the settings file."""
 
     def __init__(self, *, part: logs.Part) -> None:
         self._part = part
@@ -46,7 +46,7 @@
         seen = _stamp(path)
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_LOOK_S):
+                async with asyncio.timeout(_CHECK_INTERVAL_S):
                     await self._reload.wait()
             stamp = _stamp(path)
             if not self._reload.is_set() and stamp == seen:
@@ -63,13 +63,13 @@
     try:
         found = os.stat(path)
     except OSError:
-        # It is being replaced: looked at again in a moment.
+        # The file may be in the middle of a replacement; checked again soon.
         return (0.0, 0)
     return (found.st_mtime, found.st_size)
 
 
 def read_or_exit(read: Callable[[], T]) -> T:
-    """Settings that were read; a bad one ends with one clear line."""
+    """Return what `read` returns; exits with one line on a ConfigError."""
     try:
         return read()
     except exceptions.ConfigError as exc:
@@ -81,7 +81,7 @@
     part: logs.Part,
     main: Callable[[settings.HostSettings, Signals], Awaitable[None]],
 ) -> None:
-    """Run a program to its end; a bad setting gives one clear line."""
+    """Run a program; invalid settings and errors end it with one line."""
     host = read_or_exit(settings.load)
     output = logs.to_stdout(program=part.value, vm=host.vm)
 
@@ -99,8 +99,8 @@
         watch.cancel()
         logs.say(part, "Ended.", lines_dropped=output.dropped)
         output.flush()
-        # All that must last is synced; a thread that hangs on a stalled
-        # disk would hold up the end beyond the grace time.
+        # Durable state is synced already.  A regular exit would wait for
+        # threads that hang on a stalled disk.
         os._exit(0)
 
     try:
--- a/rackpost/types.py
+++ b/rackpost/types.py
@@ -1,4 +1,4 @@
-"""The ids, states and reasons that every part of rackpost shares."""
+"""Ids, states and reasons that all components share."""
 
 import enum
 from typing import NewType
@@ -12,9 +12,9 @@
 DataCentre = NewType("DataCentre", str)
 CallerId = NewType("CallerId", str)
 OrganisationName = NewType("OrganisationName", str)
-# What a caller's key is known by; the key itself stays in the adapter.
+# Identifies a caller's key without containing it.
 KeyDigest = NewType("KeyDigest", bytes)
-# What a request is known by under whatever id it comes.
+# Identifies a request by its content, whatever its id.
 Fingerprint = NewType("Fingerprint", bytes)
 ServiceName = NewType("ServiceName", str)
 KindName = NewType("KindName", str)
@@ -27,7 +27,7 @@
 
 
 class Role(enum.Enum):
-    """What an endpoint is used for."""
+    """The work that an endpoint does."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -35,7 +35,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller is told about its request."""
+    """The outcome of a request, as reported to its caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -51,9 +51,9 @@
 
 
 class Refusal(enum.Enum):
-    """Why a request, or a reservation, was refused.
+    """Why a request or a reservation was refused.
 
-    Used as a sentinel with a reason where a decision has no result.
+    Decisions return it in place of a result.
     """
 
     NO_ENDPOINT = "no-endpoint"
@@ -84,7 +84,7 @@
 
 
 class Failure(enum.Enum):
-    """Why an attempt that had been accepted broke off."""
+    """Why an accepted attempt failed."""
 
     AGENT = "agent"
     ENGINE = "engine"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests share: hypothesis without randomness, small sites."""
+"""Shared configuration: deterministic hypothesis, and known failures."""
 
 import pathlib
 
@@ -14,7 +14,7 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Tests that fail for a known fault, with its cause."""
+    """Return the tests that fail for a known fault, with its cause."""
     if not _KNOWN_RED.exists():
         return {}
     lines = _KNOWN_RED.read_text().splitlines()
@@ -22,7 +22,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Pass over just the known red tests; one that passes is an error."""
+    """Mark known failures as strict xfail: one that passes is an error."""
     known = _known_red()
     for item in items:
         if item.nodeid in known:
@@ -34,6 +34,6 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Print what is passed over."""
+    """List the known failures."""
     for name, cause in _known_red().items():
         terminalreporter.write_line(f"KNOWN RED: {name}: {cause}")
--- a/tests/test_log_story.py
+++ b/tests/test_log_story.py
@@ -1,4 +1,4 @@
-"""One request's story, from logs of VMs whose clocks differ."""
+"""Merging of a request's log lines from VMs whose clocks differ."""
 
 import json
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def line(vm: str, at: float, text: str, request: str = "r1") -> str:
-    found = {
+    record = {
         "text": text,
         "timestamp": at,
         "program": "gateway",
@@ -19,7 +19,7 @@
         "request": request,
         "status": 503,
     }
-    return json.dumps(found)
+    return json.dumps(record)
 
 
 def test_lines_of_one_process_keep_their_order_when_its_clock_jumps() -> None:
@@ -31,15 +31,15 @@
         "not a record, but of r1",
         "12.3 prefix " + line("b", 10.6, "four"),
     ]
-    found = log_story.merge(log_story.steps(lines, "r1"))
-    texts = [step.text for step in found]
+    merged = log_story.merge(log_story.steps(lines, "r1"))
+    texts = [step.text for step in merged]
     assert sorted(texts) == ["four", "one", "three", "two"]
     assert texts.index("one") < texts.index("three")
     assert texts.index("two") < texts.index("four")
-    assert found[0].facts == {"status": 503}
+    assert merged[0].facts == {"status": 503}
 
 
-def test_the_command_reads_many_files(
+def test_the_command_merges_several_files(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     names = []
@@ -57,7 +57,7 @@
     assert "no line" in capsys.readouterr().out
 
 
-def test_a_routing_document_is_checked_before_it_is_sent(
+def test_check_config_reports_an_invalid_routing_document(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "doc.json"
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' command, against a replica over HTTP."""
+"""The operators' command line, against a control replica over HTTP."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
             await asyncio.to_thread(cmd_operator.main, [*step, *common])
 
 
-def test_an_operators_day(
+def test_settings_events_and_status_commands(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     nodes = tmp_path / "site.json"
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    "step, says",
+    "step, message",
     [
         (["settings", "set", "nord", "weigth=2"], "no setting 'weigth'"),
         (["settings", "set", "nord", "weight"], "is not key=value"),
@@ -73,15 +73,15 @@
         (["order", "a9", "leave"], "no agent 'a9'"),
     ],
 )
-def test_a_mistake_gets_one_clear_line_and_code_2(
+def test_an_invalid_command_prints_one_line_and_exits_with_2(
     tmp_path: pathlib.Path,
     capsys: pytest.CaptureFixture[str],
     step: list[str],
-    says: str,
+    message: str,
 ) -> None:
     with pytest.raises(SystemExit) as caught:
         asyncio.run(_with_site(tmp_path / "data", [step]))
     assert caught.value.code == 2
     err = capsys.readouterr().err
-    assert says in err
+    assert message in err
     assert len(err.strip().splitlines()) == 1
--- a/tests/test_programs.py
+++ b/tests/test_programs.py
@@ -1,4 +1,4 @@
-"""The programs: their imports, help, and bad settings."""
+"""The programs: imports, help, and errors on invalid settings."""
 
 import pathlib
 import subprocess
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    "args, env, says",
+    "args, env, message",
     [
         (("rackpost-entry",), {}, "--control names no replica"),
         (
@@ -77,10 +77,10 @@
         (("rackpost", "status"), {}, "--control names no replica"),
     ],
 )
-def test_a_bad_setting_gives_one_line_that_names_it(
-    args: tuple[str, ...], env: dict[str, str], says: str
+def test_an_invalid_setting_prints_one_line_that_names_it(
+    args: tuple[str, ...], env: dict[str, str], message: str
 ) -> None:
     done = run(str(BIN / args[0]), *args[1:], **env)
     assert done.returncode == 2
-    assert says in done.stderr
+    assert message in done.stderr
     assert len(done.stderr.strip().splitlines()) == 1
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Links over TLS: both ends show a certificate of the site."""
+"""Links over TLS, with certificates of the site's authority."""
 
 import asyncio
 import pathlib
@@ -41,12 +41,12 @@
 async def link(
     server: websocket.Security, client: websocket.Security
 ) -> list[object]:
-    got: list[object] = []
+    received: list[object] = []
     arrived = asyncio.Event()
 
     async def accept(conn: websocket.WebSocketChannel) -> None:
         def receive(msg: object) -> None:
-            got.append(msg)
+            received.append(msg)
             arrived.set()
 
         conn.attach(receive=receive, closed=lambda: None)
@@ -65,33 +65,33 @@
         ) as conn:
             conn.send(HELLO)
             await arrived.wait()
-    return got
+    return received
 
 
 def test_peers_of_the_site_link_over_tls(tmp_path: pathlib.Path) -> None:
     site = trustme.CA()
-    one = options(tmp_path, "one", site).security()
-    two = options(tmp_path, "two", site).security()
-    assert asyncio.run(link(one, two)) == [HELLO]
+    server = options(tmp_path, "one", site).security()
+    client = options(tmp_path, "two", site).security()
+    assert asyncio.run(link(server, client)) == [HELLO]
 
 
 def test_a_peer_of_another_authority_is_refused(
     tmp_path: pathlib.Path,
 ) -> None:
-    one = options(tmp_path, "one", trustme.CA()).security()
-    two = options(tmp_path, "two", trustme.CA()).security()
+    server = options(tmp_path, "one", trustme.CA()).security()
+    client = options(tmp_path, "two", trustme.CA()).security()
     with pytest.raises(exceptions.LinkError):
-        asyncio.run(link(one, two))
+        asyncio.run(link(server, client))
 
 
 def test_a_peer_without_tls_is_refused(tmp_path: pathlib.Path) -> None:
-    one = options(tmp_path, "one", trustme.CA()).security()
-    plain = websocket.Security(key=one.key)
+    server = options(tmp_path, "one", trustme.CA()).security()
+    client = websocket.Security(key=server.key)
     with pytest.raises(exceptions.LinkError):
-        asyncio.run(link(one, plain))
+        asyncio.run(link(server, client))
 
 
-def test_half_of_the_tls_settings_is_a_clear_error(
+def test_incomplete_tls_settings_are_an_error(
     tmp_path: pathlib.Path,
 ) -> None:
     opts = options(tmp_path, "one", trustme.CA())
