--- a/rackpost/link/channel.py
+++ b/rackpost/link/channel.py
@@ -1,4 +1,4 @@
-"""Endpoint of a message link between two processes, for any transport."""
+"""One end of a message link between two processes, for any transport."""
 
 import abc
 import asyncio
@@ -39,7 +39,7 @@
         if self._receive is not None:
             self._receive(msg)
 
-    def _notify_closed(self) -> None:
+    def _end(self) -> None:
         closed = self._closed
         self._receive = None
         self._closed = None
@@ -71,7 +71,7 @@
         if self._open:
             self._open = False
             self._enqueue(None)
-            self._notify_closed()
+            self._end()
 
     def _enqueue(self, item: msgspec.Struct | None) -> None:
         # Timers with equal times may fire in any order, so each timer
@@ -87,7 +87,7 @@
             return
         if item is None:
             peer._open = False
-            peer._notify_closed()
+            peer._end()
         else:
             peer._deliver(item)
 
--- a/rackpost/link/websocket.py
+++ b/rackpost/link/websocket.py
@@ -94,7 +94,7 @@
         if self._open:
             self._open = False
             self._outgoing.put_nowait(None)
-            self._notify_closed()
+            self._end()
 
     async def run(self) -> None:
         """Send and receive messages until the link closes."""
