--- a/rackpost/consensus/raft.py
+++ b/rackpost/consensus/raft.py
@@ -1,9 +1,7 @@
-"""The Raft state machine of the control replicas.
+"""The Raft state machine of the control replicas, without I/O or clock.
 
-Follows Raft (Ongaro and Ousterhout, USENIX ATC 2014) with pre-vote,
-check-quorum, read-index, learners and single-server membership changes
-from Ongaro's dissertation (2014).  Pure: it reads no clock, and returns what
-has to be written or sent as `Output`.
+Follows Ongaro and Ousterhout (USENIX ATC 2014) with pre-vote, check-quorum,
+read-index, learners and single-server changes (Ongaro's dissertation, 2014).
 """
 
 import enum
@@ -47,12 +45,11 @@
         copies: int = 1,
         committed: m.Index = m.Index(0),
     ) -> None:
-        """Start from the state on the disk.
+        """Start from the stored state, committed up to `committed`.
 
         `copies` is how many voters must store a record before it is
         committed, if more than a quorum: one more than may lose their disks
-        at once.  Records up to `committed` are known to be committed and
-        are in the first output.
+        at once.
         """
         self.me = me
         self._min_copies = copies
@@ -107,13 +104,10 @@
         return progress is not None and progress.match_index >= self.commit
 
     def in_quorum_contact(self, now: float) -> bool:
-        """Whether this replica was recently in contact with a quorum.
-
-        For a follower, recent contact with a leader is enough, as a leader
-        without a quorum steps down.
-        """
+        """Whether this replica was recently in contact with a quorum."""
         if self.role is Role.LEADER:
             return self._has_quorum_contact(now)
+        # A leader without a quorum steps down.
         return (
             self.leader is not None
             and now - self._leader_contact_at < ELECTION_S
@@ -132,10 +126,7 @@
             self._start_election(now, pre=True)
 
     def lost_link(self, peer: m.ReplicaId, now: float) -> None:
-        """Start an election early if the link to the leader has closed.
-
-        If the leader still has a quorum, the pre-vote fails.
-        """
+        """Start a pre-vote early if the link to the leader has closed."""
         if self.role is Role.FOLLOWER and peer == self.leader:
             self.leader = None
             soon = now + _FAST_ELECTION_S * (0.2 + self._rng.random())
--- a/rackpost/decide/circuit_breaker.py
+++ b/rackpost/decide/circuit_breaker.py
@@ -45,7 +45,7 @@
         return now < self._backoff_until
 
     def state(self, now: float) -> State:
-        """Return the state; HALF_OPEN allows one trial request."""
+        """Return the state; HALF_OPEN allows one probe."""
         if self.in_backoff(now):
             return State.OPEN
         if self._state is State.OPEN and now >= self._until:
@@ -53,7 +53,7 @@
         return self._state
 
     def record_attempt(self, now: float) -> None:
-        """Record a sent request; if it is the trial, no other may follow."""
+        """Record a sent request; if it is the probe, no other may follow."""
         if self.state(now) is State.HALF_OPEN:
             self._until = now + self._pause_s
 
--- a/rackpost/decide/endpoint_choice.py
+++ b/rackpost/decide/endpoint_choice.py
@@ -16,7 +16,7 @@
 # Factor on the wait at an endpoint in another data centre, since traffic
 # between data centres is expensive.
 _REMOTE_FACTOR = 1.15
-# Assumed answer time until one was measured.
+# Assumed answer time before the first sample.
 _DEFAULT_ANSWER_S = 0.1
 # Random spread of waits, so that gateways do not break ties alike.
 _JITTER = 0.02
--- a/rackpost/decide/reservations.py
+++ b/rackpost/decide/reservations.py
@@ -22,8 +22,8 @@
 _EWMA_WEIGHT = 0.1
 
 
-# Bounds the work lost if the trial request after a failure fails too.
-_MAX_TRIAL_TOKENS = 1024
+# Bounds the work lost if the probe after a failure fails too.
+_MAX_PROBE_TOKENS = 1024
 
 
 class EndpointSpec(NamedTuple):
@@ -166,7 +166,7 @@
     def _breaker_allows(self, msg: messages.Reserve, now: float) -> bool:
         state = self.breaker.state(now)
         if state is circuit_breaker.State.HALF_OPEN:
-            return msg.prompt_tokens <= _MAX_TRIAL_TOKENS
+            return msg.prompt_tokens <= _MAX_PROBE_TOKENS
         return state is circuit_breaker.State.CLOSED
 
     def _reserve_prefill(
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,8 +1,6 @@
-"""Endpoints that refuse requests and ask for a back-off (503, Retry-After).
+"""Back-offs that endpoints ask for (503 with Retry-After).
 
-A gateway must not keep sending to such an endpoint, although refusing makes it
-the least loaded one, nor spend its retry budget there.  The back-offs are far
-longer than a test takes.
+Guards against requests and retries sent to an endpoint during its back-off.
 """
 
 import asyncio
--- a/tests/test_backoff_soak.py
+++ b/tests/test_backoff_soak.py
@@ -1,12 +1,7 @@
 """Random back-offs, departures, failures and restarts under load.
 
-Two gateways get requests all the time, while gateways and the coordinator
-restart.  The endpoints count the requests that arrive during a back-off or
-after an answer that announced leaving; only requests in flight may.
-
-    python -m tests.test_backoff_soak FIRST LAST
-
-plays the seeds from FIRST to LAST.
+Guards against requests sent during a back-off or to a leaving endpoint.
+By hand: python -m tests.test_backoff_soak FIRST_SEED LAST_SEED
 """
 
 import asyncio
--- a/tests/test_crashing_soak.py
+++ b/tests/test_crashing_soak.py
@@ -1,12 +1,7 @@
 """Requests that crash endpoints, under restarts, power and disk losses.
 
-Two such requests are sent again and again to any gateway; in between a gateway
-or a coordinator restarts, or all power fails, with up to two disks.  Few
-endpoints may crash, and other requests must be served.
-
-    python -m tests.test_crashing_soak FIRST LAST
-
-plays the seeds from FIRST to LAST.
+Guards against repeated crashes and against failures of other requests.
+By hand: python -m tests.test_crashing_soak FIRST_SEED LAST_SEED
 """
 
 import asyncio
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,9 +1,6 @@
-"""A burst of generations at a large fleet of gateways and endpoints.
+"""A burst of generations at 68 gateways and 16 endpoints, simulated.
 
-68 gateways share sixteen endpoints.  Callers arrive for four seconds at 2.3
-times the usual rate, with prompts of some 5,000 tokens and answers of 4,400
-whose length is only roughly known.  Nine such generations fill an endpoint for
-three seconds; twelve decode endpoints can serve 36 a second and get 30.
+Guards against missed deadlines and excess messages in a large fleet.
 """
 
 import statistics
--- a/tests/test_plain_crowd.py
+++ b/tests/test_plain_crowd.py
@@ -1,9 +1,6 @@
 """Load balancing of 68 gateways over the endpoints of a plain service.
 
-220 requests a second of 75 ms each go to five endpoints, one in each data
-centre, that serve six at once: half of their capacity.  Requests must not
-wait because many gateways choose the same endpoint by load reports that are
-a second old, or because other endpoints lose a part of their answers.
+Guards against gateways that all choose the same endpoint by old load reports.
 """
 
 import collections
--- a/tests/test_plain_overload.py
+++ b/tests/test_plain_overload.py
@@ -1,9 +1,6 @@
 """Admission at a plain service under overload.
 
-One endpoint receives 1.3 to 2.5 times its capacity for five seconds, and half
-of it afterwards.  It serves six requests of 75 ms at once, queues 24 and
-rejects others.  Clients want an answer in 0.3 s, time out after three seconds
-and retry once when told to.
+Guards against a collapse of goodput, during an overload and after it.
 """
 
 import collections
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,8 +1,6 @@
-"""Quarantine of requests that crash endpoints, and not of innocent ones.
+"""Quarantine of requests that crash endpoints.
 
-Endpoints that run a dozen generations each end one after the other under a
-request that is repeated at any gateway.  Other endpoints end for other
-reasons, connections are reset and endpoints leave.
+Guards against the quarantine of innocent requests that ran beside them.
 """
 
 import random
--- a/tests/test_rate_soak.py
+++ b/tests/test_rate_soak.py
@@ -1,12 +1,7 @@
 """Random rates, failures and restarts of endpoints under load.
 
-Two gateways get requests all the time, some datagrams between them are lost,
-and gateways and the coordinator restart.  No endpoint may get more requests
-than the rate that it names allows.
-
-    python -m tests.test_rate_soak FIRST LAST
-
-plays the seeds from FIRST to LAST.
+Guards against more requests to an endpoint than its named rate allows.
+By hand: python -m tests.test_rate_soak FIRST_SEED LAST_SEED
 """
 
 import asyncio
--- a/tests/test_token_timing.py
+++ b/tests/test_token_timing.py
@@ -1,8 +1,6 @@
 """Estimates of prefill and decode time per token.
 
-Guards against a gateway that is suspended shortly after its start, takes its
-first delayed samples for the usual time, and refuses all later requests as
-infeasible without ever observing another sample.
+Guards against delayed first samples that make all later requests infeasible.
 """
 
 import asyncio
