--- a/lab/history.py
+++ b/lab/history.py
@@ -126,7 +126,7 @@
             await self._claim(key, f"e{idx}-{turn}")
 
     async def _claim(self, key: str, holder: str) -> None:
-        one = commands.ClaimOne(
+        one = commands.ClaimRequest(
             key=types.ClaimKey(key),
             agent=types.AgentId("a"),
             incarnation=types.Incarnation(1),
@@ -146,7 +146,7 @@
         self._record_claim(key, holder, "granted", start)
         await asyncio.sleep(self.rng.uniform(0.0, 0.2))
         what = "answered" if self.rng.random() < 0.5 else "sealed"
-        settled = commands.SettleOne(
+        settled = commands.ClaimOutcome(
             key=one.key, req=one.req, attempt=one.attempt, state=what
         )
         start = self._loop.time()
@@ -157,8 +157,8 @@
 
     def _batch(
         self,
-        claims: tuple[commands.ClaimOne, ...] = (),
-        settled: tuple[commands.SettleOne, ...] = (),
+        claims: tuple[commands.ClaimRequest, ...] = (),
+        settled: tuple[commands.ClaimOutcome, ...] = (),
     ) -> commands.ClaimBatch:
         return commands.ClaimBatch(
             at=self._loop.time(), keep_s=600.0, claims=claims, settled=settled
--- a/lab/quota_ways.py
+++ b/lab/quota_ways.py
@@ -76,7 +76,9 @@
 
     def __init__(self, *, began: float, me: int, world: "Simulation") -> None:
         super().__init__(
-            terms=quota_world.TERMS, began=began, limit_of=lambda name: None
+            settings=quota_world.TERMS,
+            started_at=began,
+            limit_of=lambda name: None,
         )
         self._me = me
         self._world = world
@@ -118,8 +120,8 @@
                 self.owner.restart(began)
             return OwnerLeases(began=began, me=me, world=self)
         return _POLICIES[self._policy](
-            terms=quota_world.TERMS,
-            began=began,
+            settings=quota_world.TERMS,
+            started_at=began,
             limit_of=lambda name: quota_world.QUOTA,
         )
 
--- a/lab/quota_windows.py
+++ b/lab/quota_windows.py
@@ -120,12 +120,14 @@
     def __init__(
         self,
         *,
-        terms: quota.QuotaSettings,
-        began: float,
+        settings: quota.QuotaSettings,
+        started_at: float,
         limit_of: quota.LimitOf,
     ) -> None:
-        super().__init__(terms=terms, began=began, limit_of=limit_of)
-        self.own = WindowUsage(window_s=terms.window_s)
+        super().__init__(
+            settings=settings, started_at=started_at, limit_of=limit_of
+        )
+        self.own = WindowUsage(window_s=settings.window_s)
 
     def admit(
         self, name: types.OrganisationName, units: int, now: float
@@ -161,9 +163,9 @@
         """Return None if the request fits in this gateway's share."""
         if item.quota is None:
             return None
-        bound = self.terms.bound(item.quota) / max(1, self.gateways)
+        bound = self.settings.bound(item.quota) / max(1, self.gateways)
         return over_quota(
-            self.terms, self.own.of(item.name, now), wanted, bound
+            self.settings, self.own.of(item.name, now), wanted, bound
         )
 
 
@@ -202,15 +204,17 @@
     def __init__(
         self,
         *,
-        terms: quota.QuotaSettings,
-        began: float,
+        settings: quota.QuotaSettings,
+        started_at: float,
         limit_of: quota.LimitOf,
     ) -> None:
-        super().__init__(terms=terms, began=began, limit_of=limit_of)
+        super().__init__(
+            settings=settings, started_at=started_at, limit_of=limit_of
+        )
         self._peers: dict[types.VmId, _PeerUsage] = {}
         self._ended_usage: list[_EndedUsage] = []
         self._last_reported: dict[types.OrganisationName, int] = {}
-        self._complete_report_at = began
+        self._complete_report_at = started_at
 
     def receive(
         self,
@@ -257,7 +261,7 @@
             }
         self._last_reported = recent
         return WindowReport(
-            uptime_s=int(now - self.began),
+            uptime_s=int(now - self.started_at),
             is_complete=is_complete,
             spent=spent,
             ended=self._ended_units(now) if is_complete else {},
@@ -275,7 +279,7 @@
 
     def forget(self, now: float) -> None:
         """Drop peers and ended incarnations whose units have expired."""
-        before = now - self.terms.window_s
+        before = now - self.settings.window_s
         self._ended_usage = [
             item for item in self._ended_usage if item.at > before
         ]
@@ -306,7 +310,7 @@
 
         They count in full for half of the window, then linearly less.
         """
-        left = 2.0 * (1.0 - (now - at) / self.terms.window_s)
+        left = 2.0 * (1.0 - (now - at) / self.settings.window_s)
         return min(1.0, max(0.0, left))
 
     def bound(self, quota_: model.Quota, now: float) -> float:
@@ -314,7 +318,9 @@
         reachable = 1 + sum(
             now - item.at <= _SILENT_AFTER_S for item in self._peers.values()
         )
-        return self.terms.bound(quota_) * min(1.0, reachable / self.gateways)
+        return self.settings.bound(quota_) * min(
+            1.0, reachable / self.gateways
+        )
 
     def check(
         self, item: model.Organisation, wanted: int, now: float
@@ -324,21 +330,21 @@
             return None
         used = self.used(item.name, now)
         bound = self.bound(item.quota, now)
-        refused = over_quota(self.terms, used, wanted, bound)
+        refused = over_quota(self.settings, used, wanted, bound)
         if refused is not None:
             return refused
-        uptime_s = now - self.began
-        if uptime_s >= self.terms.window_s:
+        uptime_s = now - self.started_at
+        if uptime_s >= self.settings.window_s:
             return None
         spent = self._spent_by_recently_started(item.name, now)
         max_units = item.quota.rate_per_s * uptime_s
-        max_units += _RECENT_START_FRACTION * self.terms.reserve
+        max_units += _RECENT_START_FRACTION * self.settings.reserve
         over = spent + wanted - max_units
         if over <= 0.0:
             return None
         available_in_s = over / item.quota.rate_per_s
         return quota.OverQuota(
-            min(available_in_s, self.terms.window_s), spent, max_units
+            min(available_in_s, self.settings.window_s), spent, max_units
         )
 
     def _spent_by_recently_started(
@@ -347,6 +353,6 @@
         """Return the units of gateways that started within the window."""
         found = float(self.own.of(name, now))
         for peer in self._peers.values():
-            if peer.uptime_s + now - peer.at < self.terms.window_s:
+            if peer.uptime_s + now - peer.at < self.settings.window_s:
                 found += peer.spent.get(name, 0)
         return found
--- a/lab/slopes.py
+++ b/lab/slopes.py
@@ -266,7 +266,7 @@
     claims = []
     settled = []
     for idx in range(at, at + 100):
-        one = commands.ClaimOne(
+        one = commands.ClaimRequest(
             key=types.ClaimKey(f"{idx:032x}"),
             agent=types.AgentId("a"),
             incarnation=types.Incarnation(1),
@@ -275,7 +275,7 @@
         )
         claims.append(one)
         settled.append(
-            commands.SettleOne(
+            commands.ClaimOutcome(
                 key=one.key, req=one.req, attempt=one.attempt, state="answered"
             )
         )
--- a/rackpost/agent/answer_cache.py
+++ b/rackpost/agent/answer_cache.py
@@ -67,7 +67,7 @@
     """The latest complete answers, bounded in bytes and in age."""
 
     def __init__(self) -> None:
-        self._held: OrderedDict[slots.AttemptKey, _CachedAnswer] = (
+        self._answers: OrderedDict[slots.AttemptKey, _CachedAnswer] = (
             OrderedDict()
         )
         self._size = 0
@@ -80,14 +80,14 @@
         if answer is None:
             return
         size = len(answer.body) + sum(len(text) for text in answer.pieces)
-        self._held[key] = _CachedAnswer(answer, size, now)
+        self._answers[key] = _CachedAnswer(answer, size, now)
         self._size += size
-        while self._held and self._must_evict(now):
-            _, old = self._held.popitem(last=False)
+        while self._answers and self._must_evict(now):
+            _, old = self._answers.popitem(last=False)
             self._size -= old.size
 
     def _must_evict(self, now: float) -> bool:
-        oldest = next(iter(self._held.values()))
+        oldest = next(iter(self._answers.values()))
         return (
             self._size > _MAX_TOTAL_BYTES
             or oldest.at < now - attempts.RETENTION_S
@@ -95,7 +95,7 @@
 
     def get(self, key: slots.AttemptKey) -> messages.StoredAnswer:
         """Return the answer, or a message that it is not kept."""
-        cached = self._held.get(key)
+        cached = self._answers.get(key)
         if cached is not None:
             return cached.answer
         return messages.StoredAnswer(
--- a/rackpost/agent/process.py
+++ b/rackpost/agent/process.py
@@ -96,7 +96,7 @@
 
     def _on_peer_revision(self, revision: types.Revision) -> None:
         if self.client is not None:
-            self.client.behind(revision)
+            self.client.fetch_if_behind(revision)
 
     async def _accept(self, conn: websocket.WebSocketChannel) -> None:
         self.agent.connect(conn)
@@ -154,7 +154,7 @@
         await self.agent.drained()
         if self.client is not None:
             with contextlib.suppress(exceptions.ControlError):
-                await self.client.ask(
+                await self.client.commit(
                     commands.Remove(
                         name=self.opts.name, incarnation=self.incarnation
                     )
--- a/rackpost/consensus/log.py
+++ b/rackpost/consensus/log.py
@@ -76,7 +76,7 @@
                     return tuple(found[:idx])
         return tuple(found)
 
-    def upto(self, low: int, high: int) -> tuple[m.Entry, ...]:
+    def entries_between(self, low: int, high: int) -> tuple[m.Entry, ...]:
         """Return the records after `low` up to and including `high`."""
         base = self.snapshot.index
         return tuple(self._entries[low - base : high - base])
@@ -119,7 +119,9 @@
 
     def config_at(self, index: int) -> m.Config:
         """Return the config in force at a record."""
-        for entry in reversed(self.upto(self.snapshot.index, index)):
+        for entry in reversed(
+            self.entries_between(self.snapshot.index, index)
+        ):
             if entry.config is not None:
                 return entry.config
         return self.snapshot.config
--- a/rackpost/consensus/membership.py
+++ b/rackpost/consensus/membership.py
@@ -28,7 +28,7 @@
         caught_up: replicas that hold all committed records.
         joining: ids outside the config that recently requested to join.
         target: how many voters there should be.
-        copies: voters that must store a record before it is committed.
+        min_copies: voters that must store a record before it is committed.
     """
 
     me: m.ReplicaId
@@ -37,7 +37,7 @@
     caught_up: frozenset[m.ReplicaId]
     joining: tuple[m.ReplicaId, ...]
     target: int
-    copies: int
+    min_copies: int
 
 
 def host_of(replica: m.ReplicaId) -> str:
@@ -104,7 +104,7 @@
         if view.silence_s.get(peer, 0.0) < REPLACE_AFTER_S
     ]
     config = m.Config(voters=rest, learners=view.config.learners)
-    if len(alive) < max(config.quorum, min(view.copies, len(rest))):
+    if len(alive) < max(config.quorum, min(view.min_copies, len(rest))):
         return None
     return config
 
--- a/rackpost/consensus/raft.py
+++ b/rackpost/consensus/raft.py
@@ -409,7 +409,7 @@
 
     def _commit_to(self, index: int) -> None:
         self.commit = m.Index(index)
-        self._output.committed += self.log.upto(self.applied, index)
+        self._output.committed += self.log.entries_between(self.applied, index)
         self.applied = self.commit
 
     def _has_quorum_contact(self, now: float) -> bool:
--- a/rackpost/consensus/storage.py
+++ b/rackpost/consensus/storage.py
@@ -176,12 +176,12 @@
     _sync_dir(path.parent)
 
 
-def write_one(path: pathlib.Path, msg: msgspec.Struct) -> None:
+def write_message(path: pathlib.Path, msg: msgspec.Struct) -> None:
     """Replace a file by one that holds one message; raises OSError."""
     write_atomically(path, frame(codec.encode(msg)))
 
 
-def read_one(path: pathlib.Path, kind: type) -> msgspec.Struct:
+def read_message(path: pathlib.Path, kind: type) -> msgspec.Struct:
     """Return the one message that a file holds.
 
     Raises OSError, or StorageError or CodecError if the file is damaged.
@@ -253,7 +253,7 @@
         """
         path = self._folder / "committed"
         try:
-            mark = read_one(path, CommitMark)
+            mark = read_message(path, CommitMark)
         except (OSError, exceptions.RackpostError):
             return log.snapshot.index
         assert isinstance(mark, CommitMark)
@@ -265,7 +265,7 @@
         """Write a mark for the next start; raises StorageError."""
         path = self._folder / "committed"
         try:
-            await asyncio.to_thread(write_one, path, mark)
+            await asyncio.to_thread(write_message, path, mark)
         except OSError as exc:
             raise exceptions.StorageError(f"committed: {exc}") from exc
 
@@ -277,7 +277,7 @@
                 "'rackpost-control init', or, for one that lost its disk, "
                 "with 'rackpost-control init --join' under a new id"
             )
-        found = read_one(path, Identity)
+        found = read_message(path, Identity)
         assert isinstance(found, Identity)
         return found
 
@@ -287,7 +287,7 @@
             return m.Snapshot(
                 index=m.Index(0), term=m.Term(0), config=identity.config
             )
-        found = read_one(path, m.Snapshot)
+        found = read_message(path, m.Snapshot)
         assert isinstance(found, m.Snapshot)
         return found
 
@@ -327,7 +327,9 @@
         self, snapshot: m.Snapshot, hard: m.HardState, log: log_mod.Log
     ) -> None:
         """Write the snapshot, then a log of the records after it."""
-        rest = Batch(hard=hard, entries=log.upto(snapshot.index, 1 << 60))
+        rest = Batch(
+            hard=hard, entries=log.entries_between(snapshot.index, 1 << 60)
+        )
         await asyncio.to_thread(self._replace_files, snapshot, rest)
 
     def _replace_files(self, snapshot: m.Snapshot, rest: Batch) -> None:
--- a/rackpost/control/client.py
+++ b/rackpost/control/client.py
@@ -165,7 +165,7 @@
         while self._join is not None:
             if self.in_force.members.get(self._name) != self._join:
                 with contextlib.suppress(exceptions.ControlError):
-                    await self.ask(commands.Join(member=self._join))
+                    await self.commit(commands.Join(member=self._join))
             await asyncio.sleep(STATUS_S)
 
     def _on_closed(self) -> None:
@@ -187,7 +187,7 @@
             fut = self._requested.pop(msg.number, None)
             if fut is not None and not fut.done():
                 fut.set_result(msg.result)
-        elif isinstance(msg, messages.Whole):
+        elif isinstance(msg, messages.FullState):
             self._watch_pending = False
             if self.in_force.take_whole(msg.image):
                 self._notify_changed()
@@ -210,7 +210,7 @@
         if msg.revision > self.in_force.revision:
             self._fetch()
 
-    def behind(self, revision: types.Revision) -> bool:
+    def fetch_if_behind(self, revision: types.Revision) -> bool:
         """Whether a peer runs on a newer state; if so, fetch it."""
         if revision <= self.in_force.revision:
             return False
@@ -234,7 +234,7 @@
         self.ready.set()
         self._changed()
 
-    async def ask(self, cmd: commands.AnyCommand) -> commands.Result:
+    async def commit(self, cmd: commands.AnyCommand) -> commands.Result:
         """Commit a command; raises ControlError if its result is unknown."""
         if self._conn is None:
             raise exceptions.ControlError("no control replica is linked")
--- a/rackpost/control/messages.py
+++ b/rackpost/control/messages.py
@@ -42,7 +42,7 @@
     changes: tuple[machine.Change, ...]
 
 
-class Whole(_Message, frozen=True, tag="whole"):
+class FullState(_Message, frozen=True, tag="whole"):
     """The full state, for a watcher too far behind for changes."""
 
     image: machine.Image
@@ -104,7 +104,7 @@
 
 
 FromClient = Union[Watch, Status, CommandRequest]
-FromControl = Union[Feed, Whole, Alive, Answer]
+FromControl = Union[Feed, FullState, Alive, Answer]
 FromReplica = Union[
     ReplicaHello,
     Forward,
--- a/rackpost/control/node.py
+++ b/rackpost/control/node.py
@@ -66,7 +66,7 @@
         self._loop = asyncio.get_running_loop()
         self.me = loaded.identity.replica
         self.machine = machine.Machine()
-        self.seen: dict[str, tuple[messages.Status, float]] = {}
+        self.last_statuses: dict[str, tuple[messages.Status, float]] = {}
         self._disk = disk
         self._compact_at = compact_at
         self._unreported: dict[str, messages.Status] = {}
@@ -198,18 +198,18 @@
             _settle(self._reads.pop(msg.number, None), msg.index)
         elif isinstance(msg, messages.StatusReport):
             for status in msg.seen:
-                self.seen[status.name] = (status, self._loop.time())
+                self.last_statuses[status.name] = (status, self._loop.time())
         elif isinstance(msg, _CONSENSUS):
             self._raft.receive(msg, self._loop.time())
             self._wake.set()
         elif not isinstance(msg, messages.ReplicaHello):
             self.on_other_message(peer, msg)
 
-    def tell(self, peer: consensus.ReplicaId, msg: msgspec.Struct) -> None:
+    def send(self, peer: consensus.ReplicaId, msg: msgspec.Struct) -> None:
         """Send a message that is not about the log; dropped without a link."""
         self._send(peer, msg)
 
-    def tell_all(self, msg: msgspec.Struct) -> None:
+    def broadcast(self, msg: msgspec.Struct) -> None:
         """Send a message that is not about the log to all linked replicas."""
         for peer in list(self._peers):
             self._send(peer, msg)
@@ -364,7 +364,7 @@
 
     def record_status(self, status: messages.Status) -> None:
         """Record the status of a process linked to this replica."""
-        self.seen[status.name] = (status, self._loop.time())
+        self.last_statuses[status.name] = (status, self._loop.time())
         self._unreported[status.name] = status
 
     # The task.
--- a/rackpost/control/operators.py
+++ b/rackpost/control/operators.py
@@ -255,7 +255,7 @@
         now = node._loop.time()
         members = []
         for name, member in sorted(node.machine.members.items()):
-            seen = node.seen.get(name)
+            seen = node.last_statuses.get(name)
             members.append(
                 MemberView(
                     member=member,
--- a/rackpost/control/service.py
+++ b/rackpost/control/service.py
@@ -86,7 +86,7 @@
             return
         changes = self._node.machine.changes_after(msg.revision)
         if changes is None:
-            session.conn.send(messages.Whole(image=self._public_image()))
+            session.conn.send(messages.FullState(image=self._public_image()))
         else:
             session.conn.send(messages.Feed(changes=tuple(changes)))
         session.watching = True
@@ -99,7 +99,9 @@
 
     def _feed(self, changes: list[machine.Change] | None) -> None:
         if changes is None:
-            msg: msgspec.Struct = messages.Whole(image=self._public_image())
+            msg: msgspec.Struct = messages.FullState(
+                image=self._public_image()
+            )
         else:
             msg = messages.Feed(changes=tuple(changes))
         self._send_to_watchers(msg)
@@ -143,9 +145,9 @@
             # Status reports reach a new leader only after some time.
             return
         for member in list(self._node.machine.members.values()):
-            seen = self._node.seen.get(member.name)
+            seen = self._node.last_statuses.get(member.name)
             if seen is None or now - seen[1] > MEMBER_LEASE_S:
-                self._node.seen.pop(member.name, None)
+                self._node.last_statuses.pop(member.name, None)
                 await self._node.commit(
                     commands.Remove(
                         name=member.name, incarnation=member.incarnation
--- a/rackpost/coordinator/commit_marks.py
+++ b/rackpost/coordinator/commit_marks.py
@@ -25,17 +25,17 @@
         self._disk = disk
         self._is_healthy = True
         # The last mark that this process has written.
-        self.written: storage.CommitMark | None = None
+        self.last_written: storage.CommitMark | None = None
 
     async def run(self) -> None:
         """Write the mark whenever it has moved, until cancelled."""
         while True:
             await asyncio.sleep(_WRITE_INTERVAL_S)
             mark = self._node.mark
-            if mark is None or mark == self.written:
+            if mark is None or mark == self.last_written:
                 continue
             if await self._write(mark):
-                self.written = mark
+                self.last_written = mark
 
     async def _write(self, mark: storage.CommitMark) -> bool:
         try:
--- a/rackpost/coordinator/members.py
+++ b/rackpost/coordinator/members.py
@@ -86,7 +86,7 @@
         if self._node.is_leader:
             self._joining[msg.replica] = self._loop.time()
         elif self._node.leader is not None:
-            self._node.tell(self._node.leader, msg)
+            self._node.send(self._node.leader, msg)
 
     async def run(self) -> None:
         """Maintain links and membership until cancelled."""
@@ -99,7 +99,7 @@
             elif self._node.in_quorum_contact():
                 self._leader_contact_at = self._loop.time()
             elif self._loop.time() - self._leader_contact_at > _JOIN_AFTER_S:
-                self._node.tell_all(messages.Join(replica=self._node.me))
+                self._node.broadcast(messages.Join(replica=self._node.me))
             await asyncio.sleep(_CHECK_INTERVAL_S)
 
     def _update_leadership(self) -> None:
@@ -154,6 +154,6 @@
                 peer for peer in config.learners if self._node.caught_up(peer)
             ),
             joining=tuple(self._joining),
-            copies=self._copies,
+            min_copies=self._copies,
             target=membership.target_voters(self._copies),
         )
--- a/rackpost/coordinator/process.py
+++ b/rackpost/coordinator/process.py
@@ -83,7 +83,7 @@
                 folder=pathlib.Path(host.data_dir)
             ),
             send_to_gateways=self.directory.send_to_gateways,
-            send_to_replicas=self.node.tell_all,
+            send_to_replicas=self.node.broadcast,
         )
         self.feed = routing_feed.RoutingFeed()
         self._decoder = documents.IncrementalDecoder()
@@ -142,12 +142,12 @@
 
     async def _accept(self, conn: websocket.WebSocketChannel) -> None:
         conn.attach(
-            receive=lambda msg: self._introduce(conn, msg),
+            receive=lambda msg: self._on_hello(conn, msg),
             closed=lambda: None,
         )
         await conn.run()
 
-    def _introduce(self, conn: channel.Channel, msg: msgspec.Struct) -> None:
+    def _on_hello(self, conn: channel.Channel, msg: msgspec.Struct) -> None:
         if isinstance(msg, control.ReplicaHello):
             conn.send(control.ReplicaHello(replica=self.node.me))
             self._members.record_dialling_host(msg.replica)
@@ -225,7 +225,7 @@
             self.directory.send_to_gateways(directory_mod.update_for(item))
 
     def _send_to_replicas(self, item: endpoints.Endpoint) -> None:
-        self.node.tell_all(directory_mod.update_for(item))
+        self.node.broadcast(directory_mod.update_for(item))
 
     # Routing.
 
@@ -285,7 +285,7 @@
             notice = self.directory.take_heartbeats()
             if notice is not None:
                 self.directory.send_to_gateways(notice)
-                self.node.tell_all(notice)
+                self.node.broadcast(notice)
             self.directory.query_silent()
             self.directory.forget_silent()
 
--- a/rackpost/coordinator/quarantine_keeper.py
+++ b/rackpost/coordinator/quarantine_keeper.py
@@ -42,7 +42,7 @@
         if not self._path.exists():
             return ()
         try:
-            found = storage.read_one(self._path, messages.Suspicions)
+            found = storage.read_message(self._path, messages.Suspicions)
         except (OSError, exceptions.RackpostError) as exc:
             logs.say(
                 logs.Part.COORDINATOR,
@@ -55,7 +55,7 @@
 
     async def save(self, msg: messages.Suspicions) -> None:
         """Replace the file's content; raises OSError if that fails."""
-        await asyncio.to_thread(storage.write_one, self._path, msg)
+        await asyncio.to_thread(storage.write_message, self._path, msg)
 
 
 class QuarantineKeeper:
--- a/rackpost/decide/endpoint_health.py
+++ b/rackpost/decide/endpoint_health.py
@@ -107,15 +107,17 @@
         record.full_until = max(record.full_until, now + _MIN_FULL_S)
 
     def record_reported_backoff(
-        self, endpoint: types.EndpointId, left_s: float, now: float
+        self, endpoint: types.EndpointId, remaining_s: float, now: float
     ) -> None:
-        """Record a back-off of another gateway, with `left_s` to go.
+        """Record a back-off of another gateway, with `remaining_s` to go.
 
         It does not bind this gateway, which prefers other endpoints while
         the report is repeated.
         """
         record = self._record(endpoint)
-        record.reported_backoff_until = now + min(left_s, _REPORT_LIFETIME_S)
+        record.reported_backoff_until = now + min(
+            remaining_s, _REPORT_LIFETIME_S
+        )
 
     def has_reported_backoff(
         self, endpoint: types.EndpointId, now: float
--- a/rackpost/decide/kv_forecast.py
+++ b/rackpost/decide/kv_forecast.py
@@ -16,7 +16,7 @@
 # partly unused.  At least as large as the block of any engine in use.
 _BLOCK_TOKENS = 32
 # Margin for estimation error, in standard deviations of the sum.
-_CERTAINTY = 1.0
+_ERROR_MARGIN = 1.0
 
 
 class Run(msgspec.Struct, array_like=True, kw_only=True):
@@ -45,7 +45,7 @@
     error = math.sqrt(
         sum(run.error_tokens * run.error_tokens for run in by_end)
     )
-    return peak + int(_CERTAINTY * error)
+    return peak + int(_ERROR_MARGIN * error)
 
 
 class Progress:
--- a/rackpost/decide/queue_order.py
+++ b/rackpost/decide/queue_order.py
@@ -38,7 +38,7 @@
         start_by: clock reading at which its client leaves without a token.
         deadline: clock reading at which its client's time is up.
         start_s: expected time from reservation to first token.
-        run_s: expected time from reservation to its end.
+        generation_s: expected time from reservation to its end.
         refused_before: it was refused once; a second refusal is final.
         gateway_stopping: its gateway stops and would cut it at `deadline`.
     """
@@ -48,7 +48,7 @@
     start_by: float
     deadline: float
     start_s: float
-    run_s: float
+    generation_s: float
     refused_before: bool = False
     gateway_stopping: bool = False
 
@@ -57,7 +57,7 @@
     """Whether it is too late to start or to finish the request in time."""
     return (
         now + request.start_s > request.start_by
-        or now + request.run_s > request.deadline
+        or now + request.generation_s > request.deadline
     )
 
 
@@ -121,7 +121,7 @@
     """Return the expected wait for capacity by Little's law, in seconds.
 
     `ahead` requests wait already, and `running` generations hold a
-    reservation for `run_s` seconds each.
+    reservation for `generation_s` seconds each.
     """
     if run_s <= 0.0:
         return 0.0
--- a/rackpost/decide/quota.py
+++ b/rackpost/decide/quota.py
@@ -96,12 +96,12 @@
     """Admits requests of organisations at one gateway."""
 
     def __init__(
-        self, *, terms: QuotaSettings, began: float, limit_of: LimitOf
+        self, *, settings: QuotaSettings, started_at: float, limit_of: LimitOf
     ) -> None:
-        """`began` is the clock reading at which this gateway started."""
-        self.terms = terms
+        """`started_at` is the clock reading at which this gateway started."""
+        self.settings = settings
         self.limit_of = limit_of
-        self.began = began
+        self.started_at = started_at
         self.gateways = 1
 
     @abc.abstractmethod
--- a/rackpost/decide/quota_buckets.py
+++ b/rackpost/decide/quota_buckets.py
@@ -61,11 +61,13 @@
     def __init__(
         self,
         *,
-        terms: quota.QuotaSettings,
-        began: float,
+        settings: quota.QuotaSettings,
+        started_at: float,
         limit_of: quota.LimitOf,
     ) -> None:
-        super().__init__(terms=terms, began=began, limit_of=limit_of)
+        super().__init__(
+            settings=settings, started_at=started_at, limit_of=limit_of
+        )
         self._peers: dict[types.VmId, _Peer] = {}
         self._levels: dict[types.OrganisationName, _Level] = {}
         # Units sent since the start, and units that wait to be sent.
@@ -74,7 +76,7 @@
         self._waiting: collections.Counter[types.OrganisationName]
         self._waiting = collections.Counter()
         self._reported: dict[types.OrganisationName, int] = {}
-        self._complete_at = began
+        self._complete_at = started_at
         # Uptime of the gateway from which levels were taken at the start.
         self._learned_s = 0.0
         # Whether spending before the start has left the window.
@@ -82,8 +84,8 @@
 
     def bucket_size(self, limit: model.Quota) -> float:
         """Return the units in a full bucket."""
-        inflow = limit.rate_per_s * self.terms.window_s
-        return self.terms.bound(limit) - inflow
+        inflow = limit.rate_per_s * self.settings.window_s
+        return self.settings.bound(limit) - inflow
 
     def reachable_gateways(self, now: float) -> int:
         """Return the number of reachable gateways, this one included."""
@@ -112,7 +114,7 @@
 
     def _settle(self, now: float) -> None:
         """Fill the buckets up once forgotten spending has left the window."""
-        if self._is_settled or now < self.began + self.terms.window_s:
+        if self._is_settled or now < self.started_at + self.settings.window_s:
             return
         self._is_settled = True
         if self._learned_s > 0.0:
@@ -130,8 +132,10 @@
         """
         if self._is_settled or self._learned_s > 0.0:
             # Reports list all buckets that are not full.
-            return _Level(self.bucket_size(limit), self.began)
-        return _Level(_FORGOTTEN_SHARE * self.terms.reserve, self.began)
+            return _Level(self.bucket_size(limit), self.started_at)
+        return _Level(
+            _FORGOTTEN_SHARE * self.settings.reserve, self.started_at
+        )
 
     def _subtract(
         self, name: types.OrganisationName, units: int, now: float
@@ -191,7 +195,7 @@
         if peer is None or is_new:
             peer = self._peers[sender] = _Peer(incarnation=incarnation)
             # All spending of a gateway that has just started is new here.
-            peer.is_included = report.uptime_s < self.terms.window_s
+            peer.is_included = report.uptime_s < self.settings.window_s
             self._complete_at = now - _COMPLETE_INTERVAL_S
         elif now - peer.received_at > _CUT_OFF_S:
             peer.is_included = False
@@ -221,9 +225,10 @@
         Neither includes what the other gateway spent during a silence.  A
         gateway that has just started takes the reported levels instead.
         """
-        uptime_s = now - self.began
+        uptime_s = now - self.started_at
         knows_more = (
-            uptime_s < self.terms.window_s and report.uptime_s > uptime_s + 1.0
+            uptime_s < self.settings.window_s
+            and report.uptime_s > uptime_s + 1.0
         )
         if knows_more and report.uptime_s > self._learned_s:
             self._learned_s = report.uptime_s
@@ -246,7 +251,7 @@
             }
         self._reported = dict(self._totals)
         return quota.QuotaReport(
-            uptime_s=int(now - self.began),
+            uptime_s=int(now - self.started_at),
             is_complete=is_complete,
             spent=spent,
             levels=self._below_full(now) if is_complete else {},
@@ -255,7 +260,7 @@
 
     def forget(self, now: float) -> None:
         """Drop gateways without a report for a window."""
-        before = now - self.terms.window_s
+        before = now - self.settings.window_s
         for sender, peer in list(self._peers.items()):
             if peer.received_at < before:
                 del self._peers[sender]
@@ -281,9 +286,9 @@
         if limit is None:
             return None
         size = self.bucket_size(limit)
-        if wanted > self.terms.bound(limit):
+        if wanted > self.settings.bound(limit):
             # Exceeds any window.
-            return quota.OverQuota(self.terms.window_s, wanted, size)
+            return quota.OverQuota(self.settings.window_s, wanted, size)
         share = self._share(now)
         # Unreachable gateways keep their share of the bucket.
         level = self._free(item.name, now) - size * (1.0 - share)
@@ -293,7 +298,7 @@
             return None
         retry_after_s = (needed - level) / (limit.rate_per_s * share)
         return quota.OverQuota(
-            retry_after_s=min(retry_after_s, self.terms.window_s),
+            retry_after_s=min(retry_after_s, self.settings.window_s),
             used=size - level,
             bound=size,
         )
--- a/rackpost/decide/rate_gate.py
+++ b/rackpost/decide/rate_gate.py
@@ -91,7 +91,9 @@
         record.pending_until = 0.0
         record.contenders = decision.contenders
         if not decision.granted:
-            record.available_at = now + max(decision.wait_s, _MIN_DELAY_S)
+            record.available_at = now + max(
+                decision.retry_after_s, _MIN_DELAY_S
+            )
 
     def record_no_answer(
         self, endpoint: endpoints.Endpoint, now: float
--- a/rackpost/decide/rate_grants.py
+++ b/rackpost/decide/rate_grants.py
@@ -66,12 +66,12 @@
 
     Attributes:
         granted: the request may be sent at once.
-        wait_s: if denied, when to request again, in seconds.
+        retry_after_s: if denied, when to request again, in seconds.
         contenders: gateways that wait for a grant, the applicant included.
     """
 
     granted: bool
-    wait_s: float = 0.0
+    retry_after_s: float = 0.0
     contenders: int = 1
 
 
@@ -123,7 +123,7 @@
         )
         contenders = max(1, self._waiting)
         return GrantDecision(
-            granted=False, wait_s=wait_s, contenders=contenders
+            granted=False, retry_after_s=wait_s, contenders=contenders
         )
 
     def release(self) -> None:
--- a/rackpost/decide/role_balance.py
+++ b/rackpost/decide/role_balance.py
@@ -77,9 +77,9 @@
 class DemandMeter:
     """Measures the recent demand of one gateway's clients."""
 
-    def __init__(self, *, began: float) -> None:
-        """`began` is the clock reading at which counting started."""
-        self._began = began
+    def __init__(self, *, started_at: float) -> None:
+        """`started_at` is the clock reading at which counting started."""
+        self._started_at = started_at
         self._items: collections.deque[_Request] = collections.deque()
 
     def add(self, now: float, *, prompt: int, out: int, share: float) -> None:
@@ -102,7 +102,7 @@
         """
         while self._items and self._items[0].at < now - _WINDOW_S:
             self._items.popleft()
-        counted_s = min(_WINDOW_S, max(_MIN_WINDOW_S, now - self._began))
+        counted_s = min(_WINDOW_S, max(_MIN_WINDOW_S, now - self._started_at))
         prompt_tokens = sum(item.prompt for item in self._items)
         decode_tokens = sum(item.decode for item in self._items)
         has_observed = timing.is_known and counted_s >= _WINDOW_S / 2
--- a/rackpost/decide/token_timing.py
+++ b/rackpost/decide/token_timing.py
@@ -35,7 +35,7 @@
         self._prefill_token_s: float | None = None
         self._decode_token_s: float | None = None
         # Mean time that a generation holds its reservation; 0 if unknown.
-        self.run_s = 0.0
+        self.generation_s = 0.0
         self._runs = 0
         # Time from reservation to first event beyond the prefill itself.
         self._start_overhead_s = 0.0
@@ -48,7 +48,7 @@
         self._runs += 1
         # A plain mean at first, so that no early sample dominates.
         weight = max(_EWMA_WEIGHT, 1.0 / self._runs)
-        self.run_s += weight * (seconds - self.run_s)
+        self.generation_s += weight * (seconds - self.generation_s)
         token_s = seconds / tokens
         if (
             self._decode_token_s is None
--- a/rackpost/entry/control_claims.py
+++ b/rackpost/entry/control_claims.py
@@ -18,7 +18,7 @@
 class _PendingClaim:
     """A claim that is not yet answered."""
 
-    def __init__(self, *, item: commands.ClaimOne) -> None:
+    def __init__(self, *, item: commands.ClaimRequest) -> None:
         loop = asyncio.get_running_loop()
         self.item = item
         self.fut: asyncio.Future[claims.ClaimReply] = loop.create_future()
@@ -39,14 +39,14 @@
         self._client = client
         self._now = now
         self._pending_claims: list[_PendingClaim] = []
-        self._pending_settlements: list[commands.SettleOne] = []
+        self._pending_settlements: list[commands.ClaimOutcome] = []
         self._has_pending = asyncio.Event()
 
     async def claim(
         self, *, key: types.ClaimKey, holder: claims.Holder
     ) -> claims.ClaimReply:
         """Claim a key with the next batch."""
-        item = commands.ClaimOne(
+        item = commands.ClaimRequest(
             key=key,
             agent=holder.agent,
             incarnation=holder.incarnation,
@@ -68,7 +68,7 @@
         """Report with the next batch how an attempt ended."""
         state_name = "sealed" if state is None else state.value
         self._pending_settlements.append(
-            commands.SettleOne(
+            commands.ClaimOutcome(
                 key=key,
                 req=holder.req,
                 attempt=holder.attempt,
@@ -122,14 +122,14 @@
     ) -> commands.Result:
         for _ in range(_SETTLE_ATTEMPTS if retry else 1):
             with contextlib.suppress(exceptions.ControlError):
-                return await self._client.ask(cmd)
+                return await self._client.commit(cmd)
             await asyncio.sleep(_RETRY_INTERVAL_S)
         # A batch may be sent twice: the same holder gets the same grant.
-        return await self._client.ask(cmd)
+        return await self._client.commit(cmd)
 
 
 def _reply(
-    state: str, holder_claim: commands.ClaimOne | None
+    state: str, holder_claim: commands.ClaimRequest | None
 ) -> claims.ClaimReply:
     holder = None
     if holder_claim is not None:
--- a/rackpost/entry/process.py
+++ b/rackpost/entry/process.py
@@ -42,7 +42,7 @@
 
     def catch_up_to(self, revision: types.Revision) -> None:
         """Fetch `revision`, which a peer runs on, if it is newer."""
-        self._client.behind(revision)
+        self._client.fetch_if_behind(revision)
 
     def member_count(
         self, service: types.ServiceName, role: types.Role
--- a/rackpost/gateway/admission_queue.py
+++ b/rackpost/gateway/admission_queue.py
@@ -74,7 +74,7 @@
         *,
         chooser: endpoint_choice.Chooser,
         loads: endpoint_load.LoadTable,
-        pace: token_timing_mod.TokenTiming,
+        token_timing: token_timing_mod.TokenTiming,
         rng: random.Random,
         vm: types.VmId,
         capacity_changed: asyncio.Event,
@@ -90,7 +90,7 @@
         self._loop = asyncio.get_running_loop()
         self._chooser = chooser
         self._loads = loads
-        self._pace = pace
+        self._token_timing = token_timing
         self._rng = rng
         self._vm = vm
         self._on_waiters_changed = on_waiters_changed
@@ -105,7 +105,7 @@
     ) -> tuple[queue_order.WaitingSummary, ...]:
         """Return the waiting requests to report, most urgent first."""
         summaries = [
-            queue_order.summarize(waiter.request.claim, now)
+            queue_order.summarize(waiter.request.waiting_request, now)
             for waiter in self._waiters
             if not waiter.result.done()
         ]
@@ -165,7 +165,7 @@
         )
 
     def _reject_if_infeasible(self, waiter: _Waiter, now: float) -> None:
-        claim = waiter.request.claim
+        claim = waiter.request.waiting_request
         wait_s = self._expected_wait_s(waiter.request, now)
         infeasible = queue_order.will_be_infeasible(claim, wait_s, now)
         if infeasible or len(self._waiters) > _MAX_WAITING:
@@ -190,9 +190,9 @@
         self, request: reservation_mod.ReservationRequest, now: float
     ) -> float:
         """Return the expected time until a request is admitted."""
-        rank = queue_order.rank_of(request.claim, now)
+        rank = queue_order.rank_of(request.waiting_request, now)
         ahead = sum(
-            queue_order.rank_of(item.request.claim, now) <= rank
+            queue_order.rank_of(item.request.waiting_request, now) <= rank
             for item in self._waiters
             if item.request is not request
         )
@@ -226,7 +226,7 @@
         return plain_queue.expected_wait_s(
             ahead=ahead,
             count=len(candidates.members(request.service, role)),
-            answer_s=request.claim.start_s,
+            answer_s=request.waiting_request.start_s,
             available_in_s=available_in_s,
             rate_per_s=rate_per_s,
         )
@@ -238,11 +238,11 @@
         now: float,
     ) -> float:
         """Return how long the requests ahead will take, in seconds."""
-        summary = queue_order.summarize(request.claim, now)
+        summary = queue_order.summarize(request.waiting_request, now)
         return queue_order.expected_wait_s(
             ahead=ahead + self._loads.waiting_ahead(summary, self._vm, now),
             running=self._chooser.running_generations(request.service, now),
-            run_s=self._pace.run_s,
+            run_s=self._token_timing.generation_s,
         )
 
     def _no_capacity(
@@ -251,7 +251,7 @@
         wait_s = self._expected_wait_s(request, now)
         jitter = self._rng.random()
         retry_after_s = queue_order.retry_after_s(
-            request.claim, wait_s, now, jitter
+            request.waiting_request, wait_s, now, jitter
         )
         # A retry before an endpoint takes requests again would fail too.
         retry_after_s = max(retry_after_s, self._available_in_s(request, now))
@@ -268,7 +268,9 @@
     def _admit(self) -> None:
         now = self._loop.time()
         self._waiters.sort(
-            key=lambda item: queue_order.rank_of(item.request.claim, now)
+            key=lambda item: queue_order.rank_of(
+                item.request.waiting_request, now
+            )
         )
         self._reject_infeasible(now)
         unplaced = 0
@@ -299,7 +301,9 @@
             )
             if waiter.result.done():
                 continue
-            if queue_order.is_infeasible(request.claim, available_at):
+            if queue_order.is_infeasible(
+                request.waiting_request, available_at
+            ):
                 reservation = self._probe(request, now)
                 self._resolve(
                     waiter, reservation or self._no_capacity(request, now)
@@ -315,7 +319,7 @@
         It must be feasible if the estimates are wrong, and no planned stop may
         interrupt it if they are right.
         """
-        claim = request.claim
+        claim = request.waiting_request
         if (
             now < self._last_reserved_at + _PROBE_INTERVAL_S
             or now >= claim.target
@@ -333,7 +337,7 @@
         now: float,
     ) -> bool:
         """Whether capacity remains after more urgent requests elsewhere."""
-        summary = queue_order.summarize(request.claim, now)
+        summary = queue_order.summarize(request.waiting_request, now)
         ahead = self._loads.waiting_ahead(summary, self._vm, now)
         # Two prompts that one decode endpoint prefills at once delay all its
         # streams, so that prefills in place take turns even among few
@@ -360,7 +364,7 @@
     ) -> int:
         return self._chooser.prefill_capacity(
             request.service,
-            self._pace.prefill_tokens_in(_MAX_PREFILL_QUEUE_S),
+            self._token_timing.prefill_tokens_in(_MAX_PREFILL_QUEUE_S),
             now,
         )
 
@@ -439,7 +443,7 @@
         return self._chooser.choose_prefill(
             request.service,
             request.run.held_tokens,
-            max_ahead_tokens=self._pace.prefill_tokens_in(
+            max_ahead_tokens=self._token_timing.prefill_tokens_in(
                 _MAX_PREFILL_QUEUE_S
             ),
             now=now,
--- a/rackpost/gateway/attempt.py
+++ b/rackpost/gateway/attempt.py
@@ -226,7 +226,7 @@
         heard_s=round(now - last_heartbeat_at, 2),
         under_way=load.requests,
         slots=endpoint.slots,
-        rate_per_s=site.eligible.rates.per_s(endpoint),
+        rate_per_s=site.eligibility.rates.per_s(endpoint),
         gateways=site.gateway_count,
         figures_s=round(site.loads.oldest_age_s(now), 2),
         time_left_s=round(call.deadline - now, 3),
--- a/rackpost/gateway/control_links.py
+++ b/rackpost/gateway/control_links.py
@@ -40,7 +40,7 @@
             part=logs.Part.GATEWAY,
             port=port + links.LINKS_PORT,
             kinds=messages.ToGateway,
-            on_link=self._use,
+            on_link=self._serve_link,
         )
         self._seeds: set[str] = set()
         self._reports: dict[str, messages.Peers] = {}
@@ -62,12 +62,12 @@
         # Only the leader reports any.  A former leader's report is dropped
         # with its next report or its link.
         self._changing[host] = msg.ids
-        self._site.eligible.set_changing_role(
+        self._site.eligibility.set_changing_role(
             key for ids in self._changing.values() for key in ids
         )
         self._site.capacity_changed.set()
 
-    def tell_demands(self) -> None:
+    def publish_demands(self) -> None:
         """Report the demand of this gateway's clients to all coordinators."""
         msg = messages.Demands(
             items=self._site.demands(),
@@ -116,7 +116,9 @@
             hosts.update(report.coordinators)
         self._dialler.set_hosts(hosts)
 
-    async def _use(self, host: str, conn: websocket.WebSocketChannel) -> None:
+    async def _serve_link(
+        self, host: str, conn: websocket.WebSocketChannel
+    ) -> None:
         conn.attach(
             receive=lambda msg: self._on_message(host, conn, msg),
             closed=lambda: self._closed(host, conn),
--- a/rackpost/gateway/document_fetch.py
+++ b/rackpost/gateway/document_fetch.py
@@ -101,13 +101,13 @@
             self._in_flight = None
 
     def next_request(
-        self, *, have: int, now: float
+        self, *, held_version: int, now: float
     ) -> FetchRequest[Peer] | None:
         """Return the request to send now, None if there is none.
 
-        `have` is the version that the gateway has.
+        `held_version` is the version that the gateway has.
         """
-        if self.newest <= have:
+        if self.newest <= held_version:
             self._in_flight = None
             self._partial = None
             self._paused_until = None
@@ -125,7 +125,9 @@
         peer = self._choose(silent_peer)
         self._in_flight = _InFlight(peer, now, now + self._timeout_s)
         self._last_peer = peer
-        return FetchRequest(peer, self._message(have), silent_peer is not None)
+        return FetchRequest(
+            peer, self._message(held_version), silent_peer is not None
+        )
 
     def _choose(self, silent_peer: Peer | None) -> Peer:
         """Return the peer of the last request, unless it did not answer.
@@ -143,8 +145,8 @@
         others = [key for key in candidates if key != silent_peer]
         return self._rng.choice(others or candidates)
 
-    def _message(self, have: int) -> messages.FetchRouting:
-        base = 0 if have == self._unusable_base else have
+    def _message(self, held_version: int) -> messages.FetchRouting:
+        base = 0 if held_version == self._unusable_base else held_version
         if self._partial is None:
             return messages.FetchRouting(held_version=base)
         return messages.FetchRouting(
@@ -174,9 +176,9 @@
         self._partial = None
         return Transfer(bytes(partial.data), now - partial.began)
 
-    def reject_document(self, *, have: int, now: float) -> None:
-        """Record that the last transfer was unusable for version `have`."""
-        self._unusable_base = have
+    def reject_document(self, *, held_version: int, now: float) -> None:
+        """Record that the transfer for version `held_version` was unusable."""
+        self._unusable_base = held_version
         self._paused_until = now + _REJECT_PAUSE_S
 
     def _is_next(self, peer: Peer, chunk: messages.RoutingChunk) -> bool:
--- a/rackpost/gateway/endpoint_calls.py
+++ b/rackpost/gateway/endpoint_calls.py
@@ -41,7 +41,9 @@
 
 def check_eligible(site: site_mod.Site, endpoint: endpoints.Endpoint) -> None:
     """Raise Barred if the endpoint is ineligible."""
-    endpoint_notices.check_eligible(site.eligible, endpoint, site.loop_time())
+    endpoint_notices.check_eligible(
+        site.eligibility, endpoint, site.loop_time()
+    )
 
 
 async def request(
@@ -66,7 +68,7 @@
         head=head, body=body, request_id=request_id, is_head=is_head
     )
     new_reasons = endpoint_notices.record_answer(
-        site.eligible,
+        site.eligibility,
         endpoint,
         answer,
         part=logs.Part.GATEWAY,
--- a/rackpost/gateway/forward.py
+++ b/rackpost/gateway/forward.py
@@ -218,7 +218,10 @@
     if call.tried:
         return None
     endpoint = None
-    while endpoint is None and site.loop_time() < site.began + _STARTUP_WAIT_S:
+    while (
+        endpoint is None
+        and site.loop_time() < site.started_at + _STARTUP_WAIT_S
+    ):
         await asyncio.sleep(_CHECK_INTERVAL_S)
         endpoint = _choose(call)
     return endpoint
--- a/rackpost/gateway/generate.py
+++ b/rackpost/gateway/generate.py
@@ -182,7 +182,7 @@
                 self._engine.event_tokens
             ),
             in_place=self._in_place,
-            claim=self._waiting_request(),
+            waiting_request=self._waiting_request(),
         )
 
     def _waiting_request(self) -> queue_order.WaitingRequest:
@@ -198,7 +198,7 @@
             gateway_stopping=call.site.planned_stop.has_begun,
             refused_before=self._refused_before,
             start_s=start_s,
-            run_s=start_s
+            generation_s=start_s
             + timing.decode_s(self._progress.run.remaining_tokens),
         )
 
@@ -296,7 +296,7 @@
         """Whether a planned stop leaves too little time for the answer."""
         claim = self._waiting_request()
         ends_at = self._call.site.planned_stop.ends_at
-        return self._call.site.loop_time() + claim.run_s > ends_at
+        return self._call.site.loop_time() + claim.generation_s > ends_at
 
     def _refuse_no_capacity(
         self, no_capacity: reservation_mod.NoCapacity
--- a/rackpost/gateway/handler.py
+++ b/rackpost/gateway/handler.py
@@ -75,7 +75,7 @@
         """Wait for the routing document after the gateway's start."""
         site = self._site
         deadline = min(
-            site.began + _DOCUMENT_WAIT_S, now + _client_timeout_s(req)
+            site.started_at + _DOCUMENT_WAIT_S, now + _client_timeout_s(req)
         )
         if deadline <= now or self._waiting >= _MAX_WAITING:
             return None
@@ -221,7 +221,9 @@
 
 def _client_timeout_s(req: message.Request) -> float:
     """Return how long the client waits for its answer, in seconds."""
-    deadline_ms = headers.whole(message.find(req.headers, headers.DEADLINE_MS))
+    deadline_ms = headers.parse_int(
+        message.find(req.headers, headers.DEADLINE_MS)
+    )
     if deadline_ms is None:
         return math.inf
     # Leave time for the answer to arrive.
--- a/rackpost/gateway/load_exchange.py
+++ b/rackpost/gateway/load_exchange.py
@@ -132,8 +132,8 @@
             waiting=site.admission_queue.most_urgent_waiters(now),
             refused_keys=site.refusals.recent(now),
             quotas=site.quotas.next_report(now),
-            backoffs=site.eligible.remaining_backoffs(now),
-            named_rates=site.eligible.rates.next_updates(now),
+            backoffs=site.eligibility.remaining_backoffs(now),
+            named_rates=site.eligibility.rates.next_updates(now),
         )
 
     @contextlib.asynccontextmanager
--- a/rackpost/gateway/process.py
+++ b/rackpost/gateway/process.py
@@ -82,7 +82,7 @@
         while True:
             await asyncio.sleep(_SWEEP_S)
             self.site.pool.sweep()
-            self._links.tell_demands()
+            self._links.publish_demands()
             self.site.loads.expire(self.site.loop_time())
             self.site.quotas.forget(self.site.loop_time())
             self.site.drop_silent_gateways()
--- a/rackpost/gateway/rate_grants.py
+++ b/rackpost/gateway/rate_grants.py
@@ -195,7 +195,7 @@
             self._count(_GrantOutcome.GRANTED, endpoint)
             return Grant(endpoint=endpoint, owner=owner, at=now)
         self._count(_GrantOutcome.USED_UP, endpoint)
-        self._log(endpoint, owner, "Rate is used up.", decision.wait_s)
+        self._log(endpoint, owner, "Rate is used up.", decision.retry_after_s)
         raise exceptions.EndpointIneligible(
             eligibility.IneligibleReason.RATE.value
         )
@@ -302,7 +302,7 @@
         if self._owner(key.id, now) != self._vm:
             # The gateways do not agree yet on the owner.
             return rate_grants.GrantDecision(
-                granted=False, wait_s=_ANSWER_TIMEOUT_S
+                granted=False, retry_after_s=_ANSWER_TIMEOUT_S
             )
         return self._ledger.decide(
             key,
--- a/rackpost/gateway/reservation.py
+++ b/rackpost/gateway/reservation.py
@@ -18,7 +18,7 @@
         memory_tokens: KV memory of each decode endpoint, in tokens.
         run: the KV memory that the generation will use over time.
         exclude: endpoints that must not be chosen.
-        claim: the deadlines and the priority of the request.
+        waiting_request: the deadlines and the priority of the request.
         event_interval_s: expected time between two events of a stream.
         in_place: the prompt must be prefilled at the decode endpoint.
     """
@@ -27,7 +27,7 @@
     memory_tokens: int
     run: kv_forecast.Run
     exclude: Sequence[types.EndpointId]
-    claim: queue_order.WaitingRequest
+    waiting_request: queue_order.WaitingRequest
     event_interval_s: float = 0.0
     in_place: bool = False
 
--- a/rackpost/gateway/routing_updates.py
+++ b/rackpost/gateway/routing_updates.py
@@ -54,7 +54,7 @@
     def _request_next(self) -> None:
         """Request the next chunk of a newer document, if one is due."""
         request = self._fetch.next_request(
-            have=self._site.version, now=self._loop.time()
+            held_version=self._site.version, now=self._loop.time()
         )
         if request is not None:
             self._log_request(request)
@@ -114,7 +114,9 @@
                 before=before,
                 why=str(exc),
             )
-            self._fetch.reject_document(have=before, now=self._loop.time())
+            self._fetch.reject_document(
+                held_version=before, now=self._loop.time()
+            )
             return
         if is_new:
             logs.say(
--- a/rackpost/gateway/site.py
+++ b/rackpost/gateway/site.py
@@ -61,7 +61,7 @@
         self.policy = policy
         self.rng = random.Random()
         self.metrics = metrics_mod.Metrics()
-        self.began = self._loop.time()
+        self.started_at = self._loop.time()
         self.routes: match.RouteTable | None = None
         # Set once there are routes.
         self.routes_loaded = asyncio.Event()
@@ -73,11 +73,13 @@
         self.health = endpoint_health.HealthTracker()
         self.pool = pool_mod.Pool(id_header=headers.REQUEST_ID)
         self.group = gateway_groups.Group(vm=host.vm)
-        self.eligible = eligibility.Eligibility(table=self.table, rng=self.rng)
+        self.eligibility = eligibility.Eligibility(
+            table=self.table, rng=self.rng
+        )
         self.chooser = endpoint_choice.Chooser(
             candidates=candidates.Candidates(
                 table=self.table,
-                eligible=self.eligible,
+                eligible=self.eligibility,
                 silent_after_s=_MAX_MISSED_HEARTBEATS
                 * host.heartbeat_ms
                 / 1000.0,
@@ -95,7 +97,7 @@
         self.admission_queue = admission_queue_mod.AdmissionQueue(
             chooser=self.chooser,
             loads=self.loads,
-            pace=self.token_timing,
+            token_timing=self.token_timing,
             capacity_changed=self.capacity_changed,
             rng=self.rng,
             vm=host.vm,
@@ -103,13 +105,13 @@
             split=policy.split,
         )
         self.quotas = quota_buckets.SharedBuckets(
-            terms=_quota_settings(host.bounds),
-            began=self.began,
+            settings=_quota_settings(host.bounds),
+            started_at=self.started_at,
             limit_of=self._quota_of,
         )
         self.rate_grants = rate_grants.RateGrants(
             vm=host.vm,
-            eligible=self.eligible,
+            eligible=self.eligibility,
             loads=self.loads,
             group=self.group,
             metrics=self.metrics,
@@ -231,7 +233,7 @@
         """Return the demand meter of a model service."""
         found = self._demand_meters.get(service)
         if found is None:
-            found = role_balance.DemandMeter(began=self.began)
+            found = role_balance.DemandMeter(started_at=self.started_at)
             self._demand_meters[service] = found
         return found
 
--- a/rackpost/platform/headers.py
+++ b/rackpost/platform/headers.py
@@ -71,7 +71,7 @@
     expected_output: int
 
 
-def whole(value: bytes | None) -> int | None:
+def parse_int(value: bytes | None) -> int | None:
     """Parse a header's whole number; None if missing or malformed."""
     if value is None or not value.strip().isdigit():
         return None
@@ -84,9 +84,9 @@
     if usage is None:
         return None
     parts = usage.split(b",")
-    prompt = whole(parts[0]) or 0
-    max_output = (whole(parts[1]) or 0) if len(parts) > 1 else 0
-    expected_output = whole(message.find(headers, _LENGTH_GUESS))
+    prompt = parse_int(parts[0]) or 0
+    max_output = (parse_int(parts[1]) or 0) if len(parts) > 1 else 0
+    expected_output = parse_int(message.find(headers, _LENGTH_GUESS))
     return RequestSizes(
         prompt=prompt,
         max_output=max_output,
--- a/rackpost/state/claims.py
+++ b/rackpost/state/claims.py
@@ -25,7 +25,7 @@
 class Claim(msgspec.Struct, kw_only=True):
     """A claimed key; `until` is when it may be removed."""
 
-    holder: commands.ClaimOne
+    holder: commands.ClaimRequest
     state: str
     until: float
 
@@ -37,8 +37,8 @@
         self.claims: OrderedDict[types.ClaimKey, Claim] = OrderedDict()
 
     def claim(
-        self, request: commands.ClaimOne, *, at: float, keep_s: float
-    ) -> tuple[str, commands.ClaimOne | None]:
+        self, request: commands.ClaimRequest, *, at: float, keep_s: float
+    ) -> tuple[str, commands.ClaimRequest | None]:
         """Claim a key; return its state for the requester, and its holder."""
         found = self.claims.get(request.key)
         if found is None:
@@ -54,7 +54,7 @@
         return found.state, found.holder
 
     def settle(
-        self, item: commands.SettleOne, *, at: float, keep_s: float
+        self, item: commands.ClaimOutcome, *, at: float, keep_s: float
     ) -> None:
         """Record how an attempt ended, if it holds a running claim.
 
--- a/rackpost/state/commands.py
+++ b/rackpost/state/commands.py
@@ -108,7 +108,7 @@
     what: str
 
 
-class ClaimOne(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class ClaimRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """Claim a key for an attempt at an agent."""
 
     key: types.ClaimKey
@@ -118,7 +118,7 @@
     attempt: types.Attempt
 
 
-class SettleOne(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class ClaimOutcome(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """Report how a claimed attempt ended, as a `ClaimState` value."""
 
     key: types.ClaimKey
@@ -132,8 +132,8 @@
 
     at: float
     keep_s: float
-    claims: tuple[ClaimOne, ...] = ()
-    settled: tuple[SettleOne, ...] = ()
+    claims: tuple[ClaimRequest, ...] = ()
+    settled: tuple[ClaimOutcome, ...] = ()
 
 
 class SetRouting(Command, frozen=True, tag="routing"):
@@ -194,7 +194,7 @@
     """The state and the holder of each claim of a batch."""
 
     states: tuple[str, ...]
-    holders: tuple[ClaimOne | None, ...]
+    holders: tuple[ClaimRequest | None, ...]
 
 
 Result = Union[Accepted, Conflict, Rejected, ClaimResults]
--- a/rackpost/testing/claims.py
+++ b/rackpost/testing/claims.py
@@ -29,7 +29,7 @@
     ) -> claims.ClaimReply:
         """Claim the key in the table."""
         await self._round_trip()
-        command = commands.ClaimOne(
+        command = commands.ClaimRequest(
             key=key,
             agent=holder.agent,
             incarnation=holder.incarnation,
@@ -56,7 +56,7 @@
         await self._round_trip()
         now = asyncio.get_running_loop().time()
         word = "sealed" if state is None else state.value
-        item = commands.SettleOne(
+        item = commands.ClaimOutcome(
             key=key, req=holder.req, attempt=holder.attempt, state=word
         )
         self.table.settle(item, at=now, keep_s=_KEEP_S)
--- a/rackpost/testing/cluster.py
+++ b/rackpost/testing/cluster.py
@@ -69,7 +69,7 @@
     ) -> None:
         """Replace the stored state by a snapshot and the log after it."""
         rest = storage.Batch(
-            hard=hard, entries=log.upto(snapshot.index, 1 << 60)
+            hard=hard, entries=log.entries_between(snapshot.index, 1 << 60)
         )
         whole = codec.encode(snapshot)
         data = codec.encode(rest)
--- a/rackpost/testing/fleet.py
+++ b/rackpost/testing/fleet.py
@@ -243,7 +243,7 @@
         self.admission_queue = admission_queue_mod.AdmissionQueue(
             chooser=chooser,
             loads=self.loads,
-            pace=self.token_timing,
+            token_timing=self.token_timing,
             rng=rng,
             vm=self.vm,
             capacity_changed=self.capacity_changed,
@@ -463,13 +463,13 @@
         run=run,
         exclude=(),
         event_interval_s=pace.decode_s(spec.event_tokens),
-        claim=queue_order.WaitingRequest(
+        waiting_request=queue_order.WaitingRequest(
             priority=1,
             target=began + spec.target_s,
             start_by=began + _PATIENCE_TARGETS * spec.target_s,
             deadline=began + 14.0,
             start_s=start_s,
-            run_s=start_s + pace.decode_s(run.remaining_tokens),
+            generation_s=start_s + pace.decode_s(run.remaining_tokens),
         ),
     )
 
--- a/spec/durable.py
+++ b/spec/durable.py
@@ -158,7 +158,7 @@
                 ),
                 joining=(),
                 target=TARGET,
-                copies=COPIES,
+                min_copies=COPIES,
             )
         )
         return None if new is None else tuple(sorted(new.voters))
--- a/tests/slow_link.py
+++ b/tests/slow_link.py
@@ -140,7 +140,7 @@
             conn = _Connection(loop=self._loop)
             self._conns[one] = conn
             await one._accept(conn.far)
-            await self.links._use(f"peer-{id(one)}", conn.near)
+            await self.links._serve_link(f"peer-{id(one)}", conn.near)
             await self._ping_until_timeout(conn)
             self.lost += 1
             conn.close()
--- a/tests/test_admission_queue.py
+++ b/tests/test_admission_queue.py
@@ -55,7 +55,7 @@
                 rng=rng,
             ),
             loads=self.loads,
-            pace=timing,
+            token_timing=timing,
             rng=rng,
             vm=self.vm,
             capacity_changed=self.changed,
@@ -135,7 +135,7 @@
         reservation = await gateway.queue.reserve(request)
         if isinstance(reservation, reservation_mod.DecodeReservation):
             await asyncio.sleep(_PREFILL_S)
-            gateway.queue._pace.record_prefill(
+            gateway.queue._token_timing.record_prefill(
                 request.run.held_tokens, _PREFILL_S
             )
             reservation.record_prefilled()
@@ -161,13 +161,13 @@
         memory_tokens=100_000,
         run=kv_forecast.Run(held_tokens=1000, remaining_tokens=1000),
         exclude=(),
-        claim=queue_order.WaitingRequest(
+        waiting_request=queue_order.WaitingRequest(
             priority=1,
             target=now + left_s,
             start_by=now + 60.0,
             deadline=now + 120.0,
             start_s=0.1,
-            run_s=3.0,
+            generation_s=3.0,
             refused_before=True,
         ),
     )
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -19,7 +19,7 @@
 _REQUESTS = 20
 
 
-async def asks(req: message.Request, responder: server.Responder) -> None:
+async def back_off(req: message.Request, responder: server.Responder) -> None:
     """Refuse a request and ask for a back-off."""
     refusal_headers = [(b"x-not-executed", b"1"), (b"retry-after", BACKOFF)]
     responder.send(503, refusal_headers, b"")
@@ -57,7 +57,7 @@
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            site.plain[0].answer = asks
+            site.plain[0].answer = back_off
             assert statuses(await send(site)) == {200}
             assert len(site.plain[0].requests) <= 1
             assert statuses(await send(site, "/unsafe/x")) == {200}
@@ -74,7 +74,7 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             for endpoint in site.plain:
-                endpoint.answer = asks
+                endpoint.answer = back_off
             answers = await send(site)
             assert statuses(answers) == {503}
             assert [len(one.requests) for one in site.plain] == [1, 1]
@@ -96,7 +96,7 @@
                 req: message.Request, responder: server.Responder
             ) -> None:
                 await go_on.wait()
-                await asks(req, responder)
+                await back_off(req, responder)
 
             # One endpoint and one connection for all requests.
             site.plain[0].answer = back_off_later
@@ -126,7 +126,7 @@
 ) -> None:
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
-            site.prefill.answer = asks
+            site.prefill.answer = back_off
             assert statuses(await send(site, "/gen/x", 6)) == {200}
             assert len(site.prefill.requests) == 1
 
@@ -141,7 +141,7 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             for endpoint in site.decode:
-                endpoint.answer = asks
+                endpoint.answer = back_off
             answers = await send(site, "/gen/x", 6)
             assert statuses(answers) == {503}
             assert [len(one.requests) for one in site.decode] == [1, 1]
@@ -174,14 +174,14 @@
             async def back_off_and_signal(
                 req: message.Request, responder: server.Responder
             ) -> None:
-                await asks(req, responder)
+                await back_off(req, responder)
                 has_backed_off.set()
 
             async def back_off_afterwards(
                 req: message.Request, responder: server.Responder
             ) -> None:
                 await has_backed_off.wait()
-                await asks(req, responder)
+                await back_off(req, responder)
 
             site.prefill.answer = prefill_once
             for endpoint in site.decode:
@@ -247,8 +247,8 @@
     async def main() -> None:
         async with platform_site.small_site(tmp_path) as site:
             one, other = site.plain
-            one.answer = asks
-            other.answer = asks
+            one.answer = back_off
+            other.answer = back_off
             assert statuses(await send(site, count=2)) == {503}
             # It restarts: another id at the same address.
             one.ident, one.sequence, one.answer = "p9", 0, one.default_answer
@@ -305,7 +305,7 @@
             async with site.powered(first=True):
                 here, there = crashing_site.GATEWAYS
                 one = site.plain[0]
-                one.answer = asks
+                one.answer = back_off
                 while not one.requests:
                     await site.send(here, "/safe/x", b"")
                 other = site.gateways[there].site
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -37,7 +37,7 @@
         assert len(site.ledger.prefilled) == 1
         # Once the answer is dropped, a resend is refused as answered.
         for node in site.nodes.values():
-            node.agent._answers._held.clear()
+            node.agent._answers._answers.clear()
         late = driver.ask("a3", repeat=ONCE, claim="deed")
         got = await driver.take(second, late)
         assert got.end.reason is types.Refusal.CLAIM_ANSWERED
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -251,14 +251,14 @@
         result = await ask(group, write("a"))
         assert isinstance(result, commands.Accepted)
         assert client.in_force.revision < result.revision
-        assert client.behind(result.revision)
+        assert client.fetch_if_behind(result.revision)
         await asyncio.sleep(0.2)
         assert client.in_force.revision == result.revision
         # An older state that arrives late is not applied.
         image = group.up[leader].node.machine.image()
         assert client.in_force.take_whole(image)
         await ask(group, write("b", based_on=1))
-        assert client.behind(types.Revision(result.revision + 1))
+        assert client.fetch_if_behind(types.Revision(result.revision + 1))
         await asyncio.sleep(0.2)
         assert not client.in_force.take_whole(image)
         assert client.in_force.revision == result.revision + 1
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -51,13 +51,13 @@
         await asyncio.sleep(0.1)
         assert len(replica.watches) == 1
         for _ in range(20):
-            assert client.behind(types.Revision(7))
+            assert client.fetch_if_behind(types.Revision(7))
             replica.conn.send(messages.Alive(revision=types.Revision(7)))
             await asyncio.sleep(0.01)
         assert len(replica.watches) == 1
         replica.conn.send(messages.Feed(changes=()))
         await asyncio.sleep(0.01)
-        assert client.behind(types.Revision(7))
+        assert client.fetch_if_behind(types.Revision(7))
         await asyncio.sleep(0.01)
         assert len(replica.watches) == 2
         # A request on a closed link is repeated on the next.
--- a/tests/test_coordinators.py
+++ b/tests/test_coordinators.py
@@ -180,7 +180,7 @@
             one = found.up[12]
             await platform_site.until(
                 lambda: one.node.machine.routing is not None
-                and one.commit_marks.written == one.node.mark
+                and one.commit_marks.last_written == one.node.mark
             )
             for number in CORE:
                 await found.stop(number)
@@ -210,7 +210,7 @@
     asyncio.run(main())
 
 
-def test_a_gateway_passes_news_on_to_coordinators_that_are_apart(
+def test_a_gateway_relays_updates_between_partitioned_coordinators(
     tmp_path: pathlib.Path,
 ) -> None:
     """Guards against a partitioned leader that misses endpoints' updates."""
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -23,7 +23,7 @@
     return set(table.with_heartbeat_since(since))
 
 
-def test_those_whose_heartbeats_came_are_heard_and_no_others() -> None:
+def test_digests_mark_exactly_the_named_endpoints() -> None:
     table = table_of("a", "b", "c")
     keys = [types.EndpointId(key) for key in ("a", "c", "unknown")]
     table.record_heartbeat_digests(digests.pack(keys), 5.0)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("count", [100, 370])
-def test_nobody_is_asked_of_endpoints_that_are_heard(count: int) -> None:
+def test_no_query_about_endpoints_with_heartbeats(count: int) -> None:
     """With 1,000 endpoints and any number of gateways, no message is sent."""
 
     async def main() -> None:
@@ -75,7 +75,7 @@
     return asyncio.get_running_loop().time()
 
 
-def test_a_few_gateways_are_asked_of_those_that_are_silent() -> None:
+def test_a_few_gateways_are_queried_about_silent_endpoints() -> None:
     """During a partition 400 of 1,000 endpoints are silent here."""
 
     async def main() -> None:
@@ -102,7 +102,7 @@
     virtual.run(main())
 
 
-def test_an_end_ends_the_life_that_was_heard_and_no_later_one() -> None:
+def test_an_end_notice_ends_only_the_known_incarnation() -> None:
     """The endpoint has restarted, unknown to its old coordinator."""
 
     async def main() -> None:
--- a/tests/test_document_updates.py
+++ b/tests/test_document_updates.py
@@ -90,7 +90,9 @@
             arrived = self.fetch.receive(name, part, self.now)
             if arrived is not None:
                 self.apply(arrived.data)
-        ask = self.fetch.next_request(have=self.table.version, now=self.now)
+        ask = self.fetch.next_request(
+            held_version=self.table.version, now=self.now
+        )
         if ask is None or ask.peer in self.silent:
             return
         answer = self.feeds[ask.peer].chunk(ask.msg)
@@ -107,7 +109,7 @@
         try:
             self.table.apply(change)
         except exceptions.RoutingError:
-            self.fetch.reject_document(have=before, now=self.now)
+            self.fetch.reject_document(held_version=before, now=self.now)
             return
         assert self.table.version > before
         doc = self.docs[self.table.version]
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -79,7 +79,7 @@
         start_by=target + 3.0,
         deadline=14.0,
         start_s=0.2,
-        run_s=4.0,
+        generation_s=4.0,
     )
 
 
@@ -392,7 +392,7 @@
         start_by=3.5,
         deadline=14.0,
         start_s=0.1,
-        run_s=4.0,
+        generation_s=4.0,
     )
     return msgspec.structs.replace(usual, **more)
 
@@ -405,7 +405,9 @@
     assert not queue_order.will_be_infeasible(fresh_request(), 3.3, 0.0)
     assert queue_order.will_be_infeasible(fresh_request(), 3.5, 0.0)
     # It could start, but not finish.
-    assert queue_order.will_be_infeasible(fresh_request(run_s=13.0), 1.5, 0.0)
+    assert queue_order.will_be_infeasible(
+        fresh_request(generation_s=13.0), 1.5, 0.0
+    )
     # So is one that was refused before.
     assert queue_order.will_be_infeasible(
         fresh_request(refused_before=True), 3.5, 0.0
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -41,7 +41,7 @@
     return data.replace(b"Connection: close\r\n", b"")
 
 
-def seen(site: platform_site.Site) -> list[message.Request]:
+def requests_seen(site: platform_site.Site) -> list[message.Request]:
     return [req for one in site.endpoints for req in one.requests]
 
 
@@ -60,7 +60,7 @@
             ):
                 got = await site.raw(test_gateway.request(path, more=more))
                 assert test_gateway.status(got) == expected_status
-            assert not seen(site)
+            assert not requests_seen(site)
             for path, more in (
                 ("/safe/x", key("k1")),
                 ("/gen/x", key("k2")),
@@ -85,8 +85,8 @@
             more = key("k1") + "X-Tenant-Id: other\r\n"
             await site.raw(test_gateway.request("/safe/x", more=more))
             await site.raw(test_gateway.generation(more=more))
-            assert len(seen(site)) == 3
-            for req in seen(site):
+            assert len(requests_seen(site)) == 3
+            for req in requests_seen(site):
                 names = [item for item, _ in req.headers]
                 assert b"authorization" not in names
                 assert names.count(b"x-tenant-id") == 1
@@ -97,7 +97,7 @@
                 one.requests.clear()
             more = key("k3") + "X-Tenant-Id: other\r\n"
             await site.raw(test_gateway.request(_PUBLIC_PATH, more=more))
-            (req,) = seen(site)
+            (req,) = requests_seen(site)
             assert message.find(req.headers, b"x-tenant-id") is None
             assert message.find(req.headers, b"authorization") is None
 
@@ -153,7 +153,7 @@
             await set_document(site, document(3))
             go_on.set()
             assert test_gateway.status(await pending) == 401
-            assert len(seen(site)) == 1
+            assert len(requests_seen(site)) == 1
 
     asyncio.run(main())
 
@@ -165,7 +165,7 @@
         async with platform_site.small_site(tmp_path) as site:
             more = key("k1") + "X-Tenant-Id: other\r\n"
             await site.raw(test_gateway.request("/safe/x", more=more))
-            (req,) = seen(site)
+            (req,) = requests_seen(site)
             assert message.find(req.headers, b"x-tenant-id") == b"other"
             assert message.find(req.headers, b"authorization") == b"Bearer k1"
 
@@ -195,7 +195,7 @@
                 writer.write(kept_open("/safe/x", str(number)))
                 assert b" 401 " in await reader.readuntil(b"\r\n\r\n")
             writer.close()
-            assert not seen(site)
+            assert not requests_seen(site)
             reason = call.Reason.NO_KEY
             metrics = site.gateway.site.metrics
             assert metrics.counted("own_answers", reason) == 50
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -27,7 +27,7 @@
     return heartbeats.gone(_ID, b'{"born": %d}' % born)
 
 
-def test_a_later_life_counts_anew() -> None:
+def test_a_later_incarnation_starts_without_state() -> None:
     """Its sequence starts anew, and it may be ready after a drain."""
     table = endpoints.EndpointTable()
     table.update(heartbeat(sequence=90, born=1000, state="draining"), 1.0)
@@ -36,7 +36,7 @@
     assert not table.update(heartbeat(sequence=2, born=2000), 3.0)
 
 
-def test_what_an_earlier_life_still_says_is_nothing() -> None:
+def test_updates_of_an_earlier_incarnation_are_ignored() -> None:
     table = endpoints.EndpointTable()
     table.update(heartbeat(sequence=1, born=2000), 1.0)
     late = heartbeat(sequence=90, born=1000, state="draining")
@@ -46,7 +46,7 @@
     assert table.alive[_ID].state is endpoints.EndpointState.READY
 
 
-def test_one_that_ended_returns_in_a_later_life_only() -> None:
+def test_an_ended_endpoint_returns_only_in_a_later_incarnation() -> None:
     table = endpoints.EndpointTable()
     table.update(heartbeat(sequence=5, born=1000), 1.0)
     # The notice does not name the incarnation that ends.
@@ -58,7 +58,7 @@
     assert table.ended() == []
 
 
-def test_one_that_was_dropped_returns_in_a_later_life() -> None:
+def test_a_dropped_endpoint_returns_in_a_later_incarnation() -> None:
     table = endpoints.EndpointTable()
     table.update(heartbeat(sequence=50, born=1000), 1.0)
     table.drop(_ID)
@@ -66,7 +66,7 @@
     assert table.update(heartbeat(sequence=1, born=2000), 2.0)
 
 
-def test_a_life_is_told_from_the_one_in_which_it_was_chosen() -> None:
+def test_a_restart_is_detected() -> None:
     table = endpoints.EndpointTable()
     old = heartbeat(born=1000)
     table.update(old, 1.0)
@@ -83,7 +83,7 @@
 
 
 @hypothesis.given(strategies.permutations(range(6)), strategies.data())
-def test_the_last_life_holds_in_whatever_order_words_come(
+def test_the_last_incarnation_counts_in_any_order_of_updates(
     order: list[int], data: strategies.DataObject
 ) -> None:
     updates = [data.draw(UPDATES) for _ in order]
@@ -107,9 +107,7 @@
 
 @pytest.mark.parametrize("name", list(_GOOD))
 @pytest.mark.parametrize("bad", [None, [], {}, True, "missing"])
-def test_what_lacks_a_field_or_holds_another_type_is_none(
-    name: str, bad: object
-) -> None:
+def test_malformed_heartbeats_are_refused(name: str, bad: object) -> None:
     text = dict(_GOOD)
     if bad == "missing":
         del text[name]
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -55,7 +55,7 @@
 def test_memory_is_reserved_for_underestimated_answers(
     crowd: Mean, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(kv_forecast, "_CERTAINTY", 0.0)
+    monkeypatch.setattr(kv_forecast, "_ERROR_MARGIN", 0.0)
     without = Mean(report_delay_s=load_exchange.batching_delay_s(68))
     assert crowd.preempted < 0.7 * without.preempted
     assert crowd.long_pause < 0.7 * without.long_pause
--- a/tests/test_many_gateways.py
+++ b/tests/test_many_gateways.py
@@ -30,7 +30,7 @@
         self.here.attach(receive=self._receive, closed=lambda: None)
 
     def link(self, coordinator: process.Coordinator) -> None:
-        coordinator._introduce(
+        coordinator._on_hello(
             self.there,
             messages.GatewayHello(vm=self.vm, load_address=f"{self.vm}:7661"),
         )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -34,7 +34,7 @@
         caught_up=frozenset(config.learners) - frozenset(ids(*behind.split())),
         joining=ids(*joining.split()),
         target=5,
-        copies=3,
+        min_copies=3,
     )
 
 
--- a/tests/test_named_rates.py
+++ b/tests/test_named_rates.py
@@ -60,7 +60,7 @@
     def is_known(self, site: platform_site.Site) -> bool:
         """Whether the gateway knows the named rate."""
         endpoint = site.gateway.site.table.alive[self.endpoint.ident]
-        rate_per_s = site.gateway.site.eligible.rates.per_s(endpoint)
+        rate_per_s = site.gateway.site.eligibility.rates.per_s(endpoint)
         return rate_per_s == self._per_s
 
     async def _answer(
--- a/tests/test_one_bad_item.py
+++ b/tests/test_one_bad_item.py
@@ -167,7 +167,7 @@
             full = [_FullLink(ended=linked.discard) for _ in range(4)]
             linked.update(full)
             links._linked = linked
-            links.tell_demands()
+            links.publish_demands()
             assert all(len(link.sent) == 1 for link in full)
 
     asyncio.run(main())
--- a/tests/test_plain_queue.py
+++ b/tests/test_plain_queue.py
@@ -76,8 +76,10 @@
     now: float, left_s: float
 ) -> reservation_mod.ReservationRequest:
     found = test_admission_queue.reservation_request(now, left_s)
-    waiting = msgspec.structs.replace(found.claim, start_by=now + left_s)
-    return msgspec.structs.replace(found, claim=waiting)
+    waiting = msgspec.structs.replace(
+        found.waiting_request, start_by=now + left_s
+    )
+    return msgspec.structs.replace(found, waiting_request=waiting)
 
 
 async def _start_generations(
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -26,7 +26,9 @@
 def new_buckets(began: float = -100.0) -> quota_buckets.SharedBuckets:
     """Return the buckets of a gateway that has run for long."""
     quotas = quota_buckets.SharedBuckets(
-        terms=quota_world.TERMS, began=began, limit_of=lambda name: _QUOTA
+        settings=quota_world.TERMS,
+        started_at=began,
+        limit_of=lambda name: _QUOTA,
     )
     return quotas
 
@@ -264,8 +266,8 @@
     """Even if the burst is worth many seconds of the rate."""
     slow = model.Quota(rate_per_s=10, burst=500)
     quotas = quota_buckets.SharedBuckets(
-        terms=quota.QuotaSettings(window_s=8.0),
-        began=0.0,
+        settings=quota.QuotaSettings(window_s=8.0),
+        started_at=0.0,
         limit_of=lambda name: slow,
     )
     item = model.Organisation(name=_NORD, keys=(), quota=slow)
@@ -286,8 +288,8 @@
     low = model.Quota(rate_per_s=7_250, burst=7_250, by_tokens=True)
     limits = [_QUOTA]
     quotas = quota_buckets.SharedBuckets(
-        terms=quota_world.TERMS,
-        began=-100.0,
+        settings=quota_world.TERMS,
+        started_at=-100.0,
         limit_of=lambda name: limits[0],
     )
     admit_and_send(quotas, 0.0)
--- a/tests/test_quota_use.py
+++ b/tests/test_quota_use.py
@@ -60,7 +60,7 @@
             doc = test_gateway_keys.document(2, organisation)
             await test_gateway_keys.set_document(site, doc)
             # As if it had run for long: no spending is forgotten.
-            site.gateway.site.quotas.began -= 100.0
+            site.gateway.site.quotas.started_at -= 100.0
             data = test_gateway.request(
                 "/safe/x", more=test_gateway_keys.key("secret-key")
             )
@@ -69,7 +69,9 @@
             assert statuses.count(200) >= 1
             assert statuses[-1] == 429
             assert b"retry-after" in answers[-1]
-            assert len(test_gateway_keys.seen(site)) == statuses.count(200)
+            assert len(
+                test_gateway_keys.requests_seen(site)
+            ) == statuses.count(200)
             await platform_site.until(
                 lambda: any(site.coordinator.directory.quotas.values())
             )
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -135,7 +135,7 @@
 
 def test_denied_gateways_retry_at_different_times() -> None:
     owner = Owner()
-    waits = sorted(owner.request(f"g{n}", 0.0).wait_s for n in range(8))
+    waits = sorted(owner.request(f"g{n}", 0.0).retry_after_s for n in range(8))
     assert waits[0] >= 0.5
     gaps = [b - a for a, b in zip(waits, waits[1:])]
     assert max(gaps) < 2.0 and waits[-1] - waits[0] > 1.0
@@ -185,7 +185,7 @@
 def test_an_endpoint_is_not_selected_before_the_retry_time() -> None:
     gate = GateView()
     decision = rate_grants.GrantDecision(
-        granted=False, wait_s=0.7, contenders=4
+        granted=False, retry_after_s=0.7, contenders=4
     )
     gate.gate.record_decision(gate.one, decision, 1.0)
     assert not gate.may_select(1.6)
--- a/tests/test_roles.py
+++ b/tests/test_roles.py
@@ -94,7 +94,7 @@
 
 
 def test_the_meter_forgets() -> None:
-    meter = role_balance.DemandMeter(began=-60.0)
+    meter = role_balance.DemandMeter(started_at=-60.0)
     known = known_pace(token_s=0.001, made_s=0.01)
     meter.add(0.0, prompt=600, out=1200, share=0.5)
     found = meter.demand(SERVICE, 1.0, known)
@@ -105,7 +105,7 @@
 
 def test_a_gateway_that_has_just_started_knows_no_demand() -> None:
     """Guards against changes of role on a partial measurement."""
-    meter = role_balance.DemandMeter(began=0.0)
+    meter = role_balance.DemandMeter(started_at=0.0)
     known = known_pace(token_s=0.001, made_s=0.01)
     # No demand is known demand.
     assert meter.demand(SERVICE, 1.0, token_timing.TokenTiming()).is_known
@@ -299,7 +299,7 @@
     ).is_known
 
 
-def test_a_pool_with_room_to_spare_gives_before_a_crowd_comes() -> None:
+def test_an_idle_pool_gives_an_endpoint_before_a_burst() -> None:
     """An idle pool gives an endpoint away early.
 
     A change of role takes longer than a burst of requests lasts.
@@ -324,7 +324,7 @@
 
     async def main() -> None:
         group = unbalanced_group()
-        group[0].answer = test_backoff.asks
+        group[0].answer = test_backoff.back_off
         async with leading_coordinator(tmp_path, group) as (
             running,
             send_heartbeats,
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -90,7 +90,7 @@
     assert str(caught.value)
 
 
-def test_what_is_read_after_another_document_is_the_same_as_alone() -> None:
+def test_incremental_decoding_equals_full_decoding() -> None:
     """Unchanged routes are reused; a refused document changes nothing."""
     reader = documents.IncrementalDecoder()
     first = platform_site.document(1)
--- a/tests/test_routing_changes.py
+++ b/tests/test_routing_changes.py
@@ -122,7 +122,7 @@
         )
 
 
-def test_who_is_some_versions_behind_is_sent_the_change() -> None:
+def test_a_gateway_some_versions_behind_receives_the_change() -> None:
     docs = [document(v, {at: 1 for at in range(40 + v)}) for v in (3, 5, 9)]
     found = feed(*docs)
     for doc in docs[:-1]:
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -212,7 +212,7 @@
             own = site.gateway.site
             routes, own.routes = own.routes, None
             own.routes_loaded.clear()
-            own.began = own.loop_time()
+            own.started_at = own.loop_time()
             pending = asyncio.create_task(
                 site.raw(test_gateway.request("/safe/x"))
             )
@@ -233,7 +233,7 @@
             own = site.gateway.site
             own.routes = None
             own.routes_loaded.clear()
-            own.began = own.loop_time() - 10.0
+            own.started_at = own.loop_time() - 10.0
             got = await site.raw(test_gateway.request("/safe/x"))
             assert test_gateway.status(got) == 503
 
@@ -248,7 +248,7 @@
             own = site.gateway.site
             alive = dict(own.table.alive)
             own.table.alive.clear()
-            own.began = own.loop_time()
+            own.started_at = own.loop_time()
             pending = asyncio.create_task(
                 site.raw(test_gateway.request("/unsafe/x"))
             )
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -97,7 +97,7 @@
         return role_orders.Answer(status=200, body=report)
 
 
-def test_who_was_suspended_before_an_order_does_not_give_it(
+def test_no_order_is_sent_after_a_suspension(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Another coordinator may lead by then."""
--- a/tests/test_token_timing.py
+++ b/tests/test_token_timing.py
@@ -32,7 +32,7 @@
     for _ in range(3):
         timing.record_decode(1000, _USUAL_S)
     assert timing.decode_s(1000) < 2.0 * _USUAL_S
-    assert timing.run_s < 12.0 * _USUAL_S
+    assert timing.generation_s < 12.0 * _USUAL_S
 
 
 def test_one_slow_prefill_changes_the_estimate_little() -> None:
@@ -47,9 +47,9 @@
     """A generation whose client leaves after a second without a token."""
     found = test_admission_queue.reservation_request(now, 0.5)
     waiting = msgspec.structs.replace(
-        found.claim, start_by=now + 1.0, start_s=_DELAYED_S
+        found.waiting_request, start_by=now + 1.0, start_s=_DELAYED_S
     )
-    return msgspec.structs.replace(found, claim=waiting)
+    return msgspec.structs.replace(found, waiting_request=waiting)
 
 
 def test_some_requests_are_admitted_until_the_timing_is_known() -> None:
