--- a/rackpost/coordinator/quarantine_keeper.py
+++ b/rackpost/coordinator/quarantine_keeper.py
@@ -46,7 +46,7 @@
         except (OSError, exceptions.RackpostError) as exc:
             logs.say(
                 logs.Part.COORDINATOR,
-                "Quarantined requests can't be loaded.",
+                "Requests held back are not known.",
                 why=str(exc),
             )
             return ()
@@ -151,7 +151,7 @@
         except OSError as exc:
             logs.say(
                 logs.Part.COORDINATOR,
-                "Quarantined requests not saved.",
+                "Requests held back are not saved.",
                 why=str(exc),
             )
             self._changed.set()
